--- a/packages/dandeliontrail/src/dandeliontrail/components/answers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/answers.py
@@ -1,4 +1,4 @@
-"""What callers are told when a request ends without a whole answer."""
+"""Refusals sent to callers, and log lines about decisions."""
 
 import msgspec
 
@@ -6,97 +6,97 @@
 from .. import sentinels
 
 
-class _Text(msgspec.Struct, frozen=True):
+class _RefusalText(msgspec.Struct, frozen=True):
     status: int
     code: str
     message: str
     remedy: str
 
 
-_TEXTS = {
-    sentinels.Reason.UNKNOWN_KEY: _Text(
+_REFUSAL_TEXTS = {
+    sentinels.Reason.UNKNOWN_KEY: _RefusalText(
         401,
         "unknown_key",
-        "The key belongs to no organisation.",
+        "The API key belongs to no organisation.",
         "send Authorization: Bearer with a key that an operator has"
         " registered",
     ),
-    sentinels.Reason.UNKNOWN_CLASS: _Text(
+    sentinels.Reason.UNKNOWN_CLASS: _RefusalText(
         404,
         "unknown_class",
         "The organisation has no such request class.",
         "name one of its classes in X-Request-Class",
     ),
-    sentinels.Reason.UNKNOWN_TARGET: _Text(
+    sentinels.Reason.UNKNOWN_TARGET: _RefusalText(
         404,
         "unknown_target",
         "No backend server of the class offers this model or service.",
         "ask GET /v1/models for the models on offer",
     ),
-    sentinels.Reason.UNKNOWN_ROUTE: _Text(
+    sentinels.Reason.UNKNOWN_ROUTE: _RefusalText(
         404,
         "unknown_route",
         "No route has this host and path.",
         "send it to a host and path that an operator has declared",
     ),
-    sentinels.Reason.NOT_PROVEN: _Text(
+    sentinels.Reason.NOT_PROVEN: _RefusalText(
         503,
         "state_not_proven",
         "The instance cannot prove that its keys and routes are recent.",
         "come back after Retry-After seconds, or use another instance",
     ),
-    sentinels.Reason.OVER_LIMIT: _Text(
+    sentinels.Reason.OVER_LIMIT: _RefusalText(
         429,
         "over_limit",
         "The organisation is over its limit.",
         "come back after Retry-After seconds, or ask an operator for more",
     ),
-    sentinels.Reason.NO_CONFIGURATION: _Text(
+    sentinels.Reason.NO_CONFIGURATION: _RefusalText(
         503,
         "no_configuration",
         "The instance has not yet caught up with the configuration.",
         "come back after Retry-After seconds, or use another instance",
     ),
-    sentinels.Reason.SERVER_FAILED: _Text(
+    sentinels.Reason.SERVER_FAILED: _RefusalText(
         502,
         "backend_server_failed",
         "The backend server failed before the answer was whole.",
         "send it again if it may be repeated, else check what it did first",
     ),
-    sentinels.Reason.ENDS_SERVERS: _Text(
+    sentinels.Reason.ENDS_SERVERS: _RefusalText(
         503,
         "servers_end_under_it",
         "Backend servers ended each time that they ran this request.",
         "do not send it again as it is; ask an operator, who finds the"
         " servers by the line 'request held back'",
     ),
-    sentinels.Reason.DEADLINE: _Text(
+    sentinels.Reason.DEADLINE: _RefusalText(
         504,
         "deadline",
         "The deadline passed.",
         "come back after Retry-After seconds, or allow more time in"
         " X-Request-Timeout",
     ),
-    sentinels.Reason.NO_QUORUM: _Text(
+    sentinels.Reason.NO_QUORUM: _RefusalText(
         503,
         "no_quorum",
         "No majority could be asked whether the Idempotency-Key has run.",
         "come back after Retry-After seconds with the same key",
     ),
-    sentinels.Reason.KEY_REUSED: _Text(
+    sentinels.Reason.KEY_REUSED: _RefusalText(
         409,
         "idempotency_key_reused",
         "The Idempotency-Key was used for another request.",
         "use a new key for a new request, and the first body for a resend",
     ),
-    sentinels.Reason.ANSWER_GONE: _Text(
+    sentinels.Reason.ANSWER_GONE: _RefusalText(
         409,
         "answer_gone",
         "The request has run and its answer is no longer held.",
         "look for its result where its work shows; do not send it again"
         " with another key unless it may run twice",
     ),
-    sentinels.Reason.HOLDER_LOST: _Text(
+    sentinels.Reason.HOLDER_LOST: _RefusalText(
         502,
         "answer_lost",
         "The request may have run; what came of it is not known here.",
@@ -104,7 +104,7 @@
     ),
 }
 
-_NO_CAPACITY = _Text(
+_NO_CAPACITY = _RefusalText(
     503,
     "no_capacity",
     "There is no capacity for this request now.",
@@ -113,15 +113,16 @@
 
 
 def refusal(request_id, nothing, begun=False):
-    """Return the effect that tells a caller why there is no answer.
+    """Return the effect that refuses a request, with the reason.
 
-    ``begun`` tells that a backend server may have begun the request.
+    ``begun`` tells whether a backend server may have begun the request; the
+    reported outcome is then "unknown" instead of "not-run".
     """
-    text = _TEXTS.get(nothing.reason, _NO_CAPACITY)
+    text = _REFUSAL_TEXTS.get(nothing.reason, _NO_CAPACITY)
     if begun and text.status == _NO_CAPACITY.status:
-        # It was queued again after an attempt that may have begun: 503
-        # would promise that it did not run.
-        text = _TEXTS[sentinels.Reason.SERVER_FAILED]
+        # The request was requeued after an attempt that may have begun: a
+        # 503 would promise that it did not run.
+        text = _REFUSAL_TEXTS[sentinels.Reason.SERVER_FAILED]
     if nothing.reason is sentinels.Reason.ANSWER_GONE:
         outcome = "complete"
     else:
@@ -140,8 +141,9 @@
 def decision(work, reason, server, **inputs):
     """Return the log line of one decision about a request.
 
-    ``inputs`` are what it went by.  What did not go well is marked as
-    important, so that it is logged where others are left out.
+    ``inputs`` are the values that the decision was based on.  Anything but a
+    dispatch or a completed answer is marked as important, so that it is logged
+    even when other lines are dropped.
     """
     fields = {
         "request_id": work.request_id,
@@ -151,19 +153,22 @@
         "reason": reason,
         **inputs,
     }
-    if reason not in _USUAL:
+    if reason not in _ROUTINE_REASONS:
         fields["important"] = True
     return effects.Log("info", "decision", fields)
 
 
-_USUAL = frozenset(("dispatched", "complete", "replayed"))
+_ROUTINE_REASONS = frozenset(("dispatched", "complete", "replayed"))
 
 
-def inputs_of(state, grounds, work, now):
-    """Return the inputs of a decision about a routed request."""
+def decision_inputs(state, grounds, work, now):
+    """Return the logged inputs of a decision about a routed request.
+
+    Empty for requests that were not routed.
+    """
     if not work.routed:
         return {}
-    found = {
+    inputs = {
         "service": work.service,
         "fingerprint": work.fingerprint,
         "prompt_tokens": work.prompt_tokens,
@@ -171,38 +176,40 @@
         "waited_ms": round((now - work.received) * 1000.0, 1),
         "left_ms": round((work.deadline - now) * 1000.0, 1),
         "revision": state.routing.number,
-        "proven_ago": _rounded(state.log.proven_ago(now)),
+        "proven_ago": _rounded_seconds(state.log.proven_ago(now)),
     }
     if grounds is not None:
-        found.update(msgspec.structs.asdict(grounds))
-    return found
+        inputs.update(msgspec.structs.asdict(grounds))
+    return inputs
 
 
-def _rounded(seconds):
+def _rounded_seconds(seconds):
     return None if seconds is None else round(seconds, 3)
 
 
-def attempt_line(held, message, now):
-    """Return a log line about the present attempt of a request."""
-    hedge = held.hedge
+def attempt_line(request, message, now):
+    """Return a log line about the current attempt of a request."""
+    hedge = request.hedge
     return effects.Log(
         "info",
         message,
         {
-            "request_id": held.work.request_id,
-            "attempt": held.attempt,
-            "backend_server": held.server,
-            "since_dispatched_ms": round((now - held.dispatched) * 1000.0, 1),
-            "begun": held.begun,
-            "seeking": held.seeking,
+            "request_id": request.work.request_id,
+            "attempt": request.attempt,
+            "backend_server": request.server,
+            "since_dispatched_ms": round(
+                (now - request.dispatched) * 1000.0, 1
+            ),
+            "begun": request.begun,
+            "seeking": request.seeking_hedge,
             "beside": hedge.server if hedge else "",
             "important": True,
         },
     )
 
 
-def turned_away(state, event, nothing, now):
-    """Return the log line of a request that no route or key lets in."""
+def turned_away_line(state, event, nothing, now):
+    """Return the log line of a routed request refused on arrival."""
     return effects.Log(
         "info",
         "turned away",
@@ -213,13 +220,13 @@
             "host": event.host,
             "path": event.path,
             "revision": state.routing.number,
-            "proven_ago": _rounded(state.log.proven_ago(now)),
+            "proven_ago": _rounded_seconds(state.log.proven_ago(now)),
         },
     )
 
 
-def beliefs(found):
-    """Return the log lines of what a policy came to believe of servers."""
+def health_lines(changes):
+    """Return log lines for the policy's changed views of server health."""
     return [
         effects.Log(
             "info",
@@ -232,5 +239,5 @@
                 "important": True,
             },
         )
-        for item in found
+        for item in changes
     ]
--- a/packages/dandeliontrail/src/dandeliontrail/components/attainment.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/attainment.py
@@ -1,48 +1,50 @@
-"""How often each version of a model meets the targets of its requests.
+"""Counts how often each model version meets its requests' latency targets.
 
-The roll-out of a version stops when it does worse than the one before (see
-:mod:`..decisions.model_orders`), so what counts is the recent past: older
-requests weigh less and less.
+The rollout of a version stops when it does worse than the previous one (see
+:mod:`..decisions.model_orders`), so the recent past matters most: the weight
+of older requests decays.
 """
 
 from ..decisions import model_orders
 from ..resources import specs
 
-# Counts are halved above this, so that a version which turned bad shows
-# within some hundred requests however long it was good.
-REMEMBERED = 1000
-MILLISECONDS = 1000.0
+# Counts are halved above this number, so that a version which becomes slow is
+# detected within a few hundred requests, however long it was fast.
+MAX_COUNTED_REQUESTS = 1000
+MS_PER_SECOND = 1000.0
 
 
-def count(state, held, now):
-    """Count a request that is complete, if its class has targets."""
-    work = held.work
-    version = _version(state, held.server, work.model)
+def count(state, request, now):
+    """Count a completed request, if its class has latency targets."""
+    work = request.work
+    version = _served_version(state, request.server, work.model)
     spec = state.store.spec(specs.Kind.REQUEST_CLASSES, work.class_name)
     if version is None or spec is None:
         return
-    limits = spec.targets
-    if limits.first_token_ms is None and limits.total_ms is None:
+    targets = spec.targets
+    if targets.first_token_ms is None and targets.total_ms is None:
         return
-    counted = state.orders.attainment.setdefault(
+    totals = state.orders.attainment.setdefault(
         (work.model, version), model_orders.Attainment()
     )
-    counted.requests += 1
-    counted.met += _met(limits, held, now)
-    if counted.requests > REMEMBERED:
-        counted.requests //= 2
-        counted.met //= 2
+    totals.requests += 1
+    totals.met += _met_targets(targets, request, now)
+    if totals.requests > MAX_COUNTED_REQUESTS:
+        totals.requests //= 2
+        totals.met //= 2
 
 
-def _met(limits, held, now):
-    """Tell whether the targets were met from the dispatch on.
+def _met_targets(targets, request, now):
+    """Tell whether the targets were met, counted from the dispatch.
 
-    The time in the queue is not the version's doing.
+    Time in the queue does not depend on the model version.
     """
-    first = (held.first_output - held.dispatched) * MILLISECONDS
-    total = (now - held.dispatched) * MILLISECONDS
-    return _within(first, limits.first_token_ms) and _within(
-        total, limits.total_ms
+    first_token_ms = (
+        request.first_output - request.dispatched
+    ) * MS_PER_SECOND
+    total_ms = (now - request.dispatched) * MS_PER_SECOND
+    return _within(first_token_ms, targets.first_token_ms) and _within(
+        total_ms, targets.total_ms
     )
 
 
@@ -50,7 +52,7 @@
     return limit is None or value <= limit
 
 
-def _version(state, server_name, model):
+def _served_version(state, server_name, model):
     server = state.directory.server(server_name)
     if server is None or not model:
         return None
--- a/packages/dandeliontrail/src/dandeliontrail/components/begun.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/begun.py
@@ -1,17 +1,19 @@
-"""When a request began at its server, as its caller's instance can tell.
+"""Counts requests in the usage window in which they began at a server.
 
-A stream begins with its first event.  Of a plain request only the end of
-its answer is seen: it began when it was sent, unless it waited at the server
-for others, which a longer answer than usual tells.
+The start is estimated by the instance that forwards the request.  A stream
+begins with its first event.  For a plain request only the complete answer is
+visible: it began when it was sent, unless it queued at the server, which shows
+as a longer response time than is typical.
 """
 
-# The usual time of an answer is that of the quickest lately: it is taken at
-# once when a quicker one comes, and grows by this part with each other one.
-GROWTH = 0.02
+# The typical response time of a service follows its fastest recent answers: it
+# drops at once to that of a faster answer, and otherwise grows by this
+# fraction with each answer.
+TYPICAL_TIME_GROWTH = 0.02
 
 
-class Begun:
-    """Counts each request once, in the window in which it began."""
+class StartCounter:
+    """Counts each request once, in the usage window in which it began."""
 
     __slots__ = ("_duties", "_quickest")
 
@@ -19,34 +21,35 @@
         self._duties = duties
         self._quickest = {}
 
-    def first_output(self, held, now):
-        """Count a request whose server has answered."""
-        if held.work.streamed:
-            self._count(held, now)
+    def first_output(self, request, now):
+        """Count a request at its first output."""
+        if request.work.streamed:
+            self._count(request, now)
             return
-        took = now - held.dispatched
-        usual = self._learn(held.work.service, took)
-        self._count(held, now - min(took, usual))
+        elapsed = now - request.dispatched
+        typical = self._update_typical(request.work.service, elapsed)
+        self._count(request, now - min(elapsed, typical))
 
-    def broke_off(self, held):
-        """Count a plain request whose answer did not come.
+    def attempt_failed(self, request):
+        """Count a plain request whose attempt failed or was overtaken.
 
-        A stream that broke off before its first event waited for its engine.
+        A stream that fails before its first event was still queued at its
+        engine, so it is not counted.
         """
-        if not held.work.streamed:
-            self._count(held, held.dispatched)
+        if not request.work.streamed:
+            self._count(request, request.dispatched)
 
-    def _learn(self, service, took):
-        usual = self._quickest.get(service, took)
-        usual = min(took, usual * (1.0 + GROWTH))
-        self._quickest[service] = usual
-        return usual
+    def _update_typical(self, service, elapsed):
+        typical = self._quickest.get(service, elapsed)
+        typical = min(elapsed, typical * (1.0 + TYPICAL_TIME_GROWTH))
+        self._quickest[service] = typical
+        return typical
 
-    def _count(self, held, moment):
+    def _count(self, request, started_at):
         clock = self._duties.clock
         if not self._duties.options.reports_usage or not clock.known:
             return
-        if held.work.organisation and not held.counted:
-            held.counted = True
-            began = clock.at(moment)
-            self._duties.counter.count(held.work.organisation, began)
+        if request.work.organisation and not request.usage_counted:
+            request.usage_counted = True
+            began = clock.at(started_at)
+            self._duties.counter.count(request.work.organisation, began)
--- a/packages/dandeliontrail/src/dandeliontrail/components/dispatching.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/dispatching.py
@@ -1,4 +1,4 @@
-"""Gives a request to the backend server that the policy chose."""
+"""Dispatches a request to the backend server that the policy chose."""
 
 from .. import effects
 from .. import invariants
@@ -8,43 +8,43 @@
 from . import measures
 
 
-def dispatch(state, held, placement, now):
-    """Take note of the server in the life ``held``; return the effects."""
+def dispatch(state, request, placement, now):
+    """Record the chosen server in ``request``; return the effects."""
     server = placement.server
-    known = state.directory.server(server)
-    work = held.work
-    # The policy looks at this too, on lists that it keeps; a server that left
-    # or fell silent since must not slip through one of them.
+    record = state.directory.server(server)
+    work = request.work
+    # The policy checks this too, but on cached lists, which may still contain
+    # a server that has left or gone silent since.
     invariants.check(
-        known is not None and known.serves(now),
+        record is not None and record.serves(now),
         "no-new-work-for-a-leaving-server",
         f"{work.request_id} to {server}",
     )
-    announcement = known.announcement
+    announcement = record.announcement
     incarnation = (server, announcement.epoch)
-    inputs = answers.inputs_of(state, placement.grounds, work, now)
-    measured = []
+    inputs = answers.decision_inputs(state, placement.grounds, work, now)
+    queue_waits = []
     if placement.hedge:
-        held.dispatch_hedge(server, incarnation, now)
+        request.dispatch_hedge(server, incarnation, now)
         inputs["hedge"] = True
     else:
-        held.dispatch(server, incarnation, now)
-        measured.append(
+        request.dispatch(server, incarnation, now)
+        queue_waits.append(
             measures.since_received(work, reports.Metric.QUEUE_WAIT, now)
         )
-    patient = patience.ENDLESS
+    attempt_patience = patience.ENDLESS
     if work.routed:
-        patient = patience.of_attempt(work, held.begun)
+        attempt_patience = patience.of_attempt(work, request.begun)
     return [
         effects.Dispatch(
             work.request_id,
-            held.dispatches,
+            request.dispatches,
             server,
             announcement.url,
             work.start_priority if work.routed else work.priority,
             work.repeatable,
-            patient,
+            attempt_patience,
         ),
         answers.decision(work, "dispatched", server, **inputs),
-        *measured,
+        *queue_waits,
     ]
--- a/packages/dandeliontrail/src/dandeliontrail/components/early_requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/early_requests.py
@@ -1,45 +1,50 @@
-"""Requests that came before this instance had its state.
-
-An entry that starts listens half a second before it has the configuration,
-and callers come at once: their connections are sent to it as soon as it
-listens.  Told to come back, most of them had used the one retry that they
-have, and came back a second later, late, to an instance that had been able
-to serve for most of that time.  So they wait here for the state, which is
-bounded: an instance that is cut off does not get it soon.
+"""Holds routed requests that arrive before the instance has its state.
+
+A starting instance listens half a second before it has the configuration, and
+connections reach it as soon as it listens.  When these requests were refused
+with Retry-After, most callers spent their only retry and came back a second
+later, too late, although the instance had been able to serve for most of that
+time.  So requests wait here for the state.  Wait and number are bounded,
+because a partitioned instance may not get the state soon.
 """
 
-# How long requests wait for the state: well above the time from listening to
-# serving of a calm start.
+# How long requests wait for the state, in seconds: well above the usual time
+# from listening to serving.
 PATIENCE = 1.0
-# The part of its time that a request may spend so: it has to run as well.
-PATIENCE_PART = 0.4
-# So many wait at once: what callers send to one instance in a second, many
-# times over.  The rest is told to come back.
+# The share of its timeout that a request may wait; the rest is left for
+# running it.
+MAX_TIMEOUT_SHARE = 0.4
+# Maximum number of held requests, many times what one instance receives in a
+# second.  Further requests are refused with Retry-After.
 MOST_WAITING = 512
 
 
 class EarlyRequests:
-    """Holds events of requests until their state is there."""
+    """Holds request events until the state is loaded."""
 
     def __init__(self):
         self._held = {}
 
     def hold(self, event, now):
-        """Hold a request that came just now; tell whether it may wait."""
+        """Hold a request that arrived at ``now``; return ``False`` if full."""
         if len(self._held) >= MOST_WAITING:
             return False
         seconds = PATIENCE
         if event.timeout is not None:
-            seconds = min(seconds, event.timeout * PATIENCE_PART)
+            seconds = min(seconds, event.timeout * MAX_TIMEOUT_SHARE)
         self._held[event.request_id] = (event, now, now + seconds)
         return True
 
     def drop(self, request_id):
-        """Forget a request; tell whether it was held."""
+        """Forget a request; return whether it was held."""
         return self._held.pop(request_id, None) is not None
 
     def due(self, ready, now):
-        """Take out ``(event, received)`` of those that wait no longer."""
+        """Remove and return ``(event, received)`` of requests to admit now.
+
+        These are all held requests once the state is ``ready``, else those
+        whose wait has run out.
+        """
         due = [
             (event, received)
             for event, received, until in self._held.values()
--- a/packages/dandeliontrail/src/dandeliontrail/components/endings.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/endings.py
@@ -1,4 +1,4 @@
-"""How a request ends without a whole answer, and what must hear of it."""
+"""Ends requests without a complete answer, and cleans up after them."""
 
 from .. import effects
 from . import answers
@@ -10,9 +10,10 @@
 
 
 class Endings:
-    """Ends requests: their policy, claims and servers are told.
+    """Ends requests and notifies the policy, the claims and the servers.
 
-    ``lives`` are those under way, by request.
+    ``lives`` maps request ids to the open requests; it is shared with the
+    request component.
     """
 
     __slots__ = ("_state", "_policy", "_claims", "_hedges", "_lives")
@@ -24,66 +25,82 @@
         self._hedges = hedges
         self._lives = lives
 
-    def refuse(self, held, nothing, now, grounds=None):
-        """End a request without an answer, as what may have begun says."""
-        begun = held.begun > 0
-        held.move(life.Phase.UNKNOWN if begun else life.Phase.NOT_RUN)
-        work = held.work
+    def refuse(self, request, nothing, now, grounds=None):
+        """Refuse a request that has no answer.
+
+        The outcome is unknown if an attempt may have begun, else not run.
+        """
+        begun = request.begun > 0
+        request.transition_to(
+            life.Phase.UNKNOWN if begun else life.Phase.NOT_RUN
+        )
+        work = request.work
         self._lives.pop(work.request_id, None)
         return [
             answers.refusal(work.request_id, nothing, begun=begun),
-            self._decision(held, nothing.reason.value, now, grounds),
-            *self.end_claim(held, now),
+            self._decision(request, nothing.reason.value, now, grounds),
+            *self.end_claim(request, now),
         ]
 
-    def end_claim(self, held, now, answer=None):
-        """Tell the claim how the request ended, where it has one.
+    def end_claim(self, request, now, answer=None):
+        """Report to the claim, if the request has one, how it ended.
 
-        A key may be run anew where nothing ran, or where running again
-        does no harm.
+        The key may be run again if nothing ran, or if the request is
+        repeatable.
         """
-        if not held.claimed:
+        if not request.holds_key:
             return []
-        if held.phase is life.Phase.COMPLETE:
+        if request.phase is life.Phase.COMPLETE:
             stand = Stand.HELD
-        elif held.phase is life.Phase.UNKNOWN and not held.work.repeatable:
+        elif (
+            request.phase is life.Phase.UNKNOWN and not request.work.repeatable
+        ):
             stand = Stand.UNKNOWN
         else:
             stand = Stand.NOT_RUN
-        return self._claims.ended(held.work.request_id, stand, answer, now)
+        return self._claims.ended(request.work.request_id, stand, answer, now)
 
-    def stop(self, held, reason, now):
-        """Drop a request, wherever it is."""
-        request_id = held.work.request_id
+    def stop(self, request, reason, now):
+        """Stop a request in any phase that is not final."""
+        request_id = request.work.request_id
         del self._lives[request_id]
-        hedge = self._hedges.drop(held, now)
-        out = self.cancel(held, hedge.server) if hedge else []
+        hedge = self._hedges.drop(request, now)
+        out = self.cancel(request, hedge.server) if hedge else []
         out.append(effects.Abandon(request_id))
-        out.append(self._decision(held, reason, now))
-        if held.phase is life.Phase.CLAIMING:
+        out.append(self._decision(request, reason, now))
+        if request.phase is life.Phase.CLAIMING:
             return out + self._claims.forget(request_id, now)
-        if held.phase is life.Phase.QUEUED:
+        if request.phase is life.Phase.QUEUED:
             self._policy.withdraw(request_id)
         else:
-            self.release(held, now, wasted=True)
-            out.extend(self.cancel(held, held.server))
-        begun = held.begun > 0
-        held.move(life.Phase.UNKNOWN if begun else life.Phase.NOT_RUN)
-        return out + self.end_claim(held, now)
-
-    def release(self, held, now, **how):
-        """Tell the policy how the present attempt ended."""
-        ended = work_module.Ended(held.work.request_id, held.server, **how)
+            self.report_attempt_end(request, now, wasted=True)
+            out.extend(self.cancel(request, request.server))
+        begun = request.begun > 0
+        request.transition_to(
+            life.Phase.UNKNOWN if begun else life.Phase.NOT_RUN
+        )
+        return out + self.end_claim(request, now)
+
+    def report_attempt_end(self, request, now, **details):
+        """Report to the policy how the current attempt ended."""
+        ended = work_module.Ended(
+            request.work.request_id, request.server, **details
+        )
         self._policy.ended(ended, now)
 
-    def cancel(self, held, name):
-        """Have a server stop; routed requests end with their connection."""
-        server = self._state.directory.server(name)
-        if server is None or held.work.routed:
+    def cancel(self, request, server_name):
+        """Cancel a request at a server.
+
+        Routed requests need no message: closing the connection ends them.
+        """
+        server = self._state.directory.server(server_name)
+        if server is None or request.work.routed:
             return []
         url = server.announcement.url
-        return [effects.Cancel(held.work.request_id, url)]
+        return [effects.Cancel(request.work.request_id, url)]
 
-    def _decision(self, held, reason, now, grounds=None):
-        inputs = answers.inputs_of(self._state, grounds, held.work, now)
-        return answers.decision(held.work, reason, held.server, **inputs)
+    def _decision(self, request, reason, now, grounds=None):
+        inputs = answers.decision_inputs(
+            self._state, grounds, request.work, now
+        )
+        return answers.decision(request.work, reason, request.server, **inputs)
--- a/packages/dandeliontrail/src/dandeliontrail/components/hedges.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/hedges.py
@@ -1,24 +1,24 @@
-"""A server beside one that is silent, for requests that may be repeated.
+"""Hedged attempts for repeatable requests whose server is silent.
 
-Guards against the end of an answer that its server would still have given: a
-silent server is let go only once another one speaks.  Until then the request
-has two attempts, of which each is counted where it is; what both have in
-common, such as how many servers it may reach, is in :mod:`.life`.
+A silent server may still answer, so its attempt is cancelled only once the
+hedge produces output.  Until then the request has two attempts, each counted
+as load on its own server.  State shared by both, such as the number of servers
+reached, is kept in :mod:`.life`.
 """
 
 from .. import effects
 from ..decisions import work as work_module
 
-# A repeatable request is tried on this many servers: with one in twenty
-# attempts lost, four failures in a row are one in 160,000.
-MOST_ATTEMPTS = 4
-# After a server turned a hedge away the next is asked so much later, and twice
-# as much after each further one of the same silence.
-REJECTED_PAUSE = 0.25
+# Maximum number of servers for a repeatable request: if one attempt in twenty
+# fails, four failures in a row happen once in 160,000 requests.
+MAX_ATTEMPTS = 4
+# Delay before the next hedge after a server rejected one.  It doubles with
+# each further rejection during the same silence.
+REJECTED_BACKOFF_SECONDS = 0.25
 
 
 class Hedges:
-    """Seeks, sends and lets go of the attempts beside silent ones."""
+    """Requests, replaces and drops hedged attempts."""
 
     __slots__ = ("_policy", "_ends")
 
@@ -26,75 +26,80 @@
         self._policy = policy
         self._ends = ends
 
-    def seek(self, held, since):
-        """Look for another server, if the request may reach one more.
+    def seek(self, request, not_before):
+        """Ask the policy for a second server, if one more is allowed.
 
-        ``since`` is when to begin with that.
+        The policy does not place the hedge before ``not_before``.
         """
-        work = held.work
-        if held.seeking or held.hedge is not None:
+        work = request.work
+        if request.seeking_hedge or request.hedge is not None:
             return
-        most = work.max_attempts or MOST_ATTEMPTS
-        if not work.repeatable or held.begun >= most:
+        limit = work.max_attempts or MAX_ATTEMPTS
+        if not work.repeatable or request.begun >= limit:
             return
-        if self._ends.holds(work.fingerprint, since):
+        if self._ends.holds(work.fingerprint, not_before):
             return
-        work.avoid.add(held.server)
-        work.turned_away.discard(held.server)
-        held.seeking = True
-        self._policy.seek(work, since)
+        work.avoid.add(request.server)
+        work.turned_away.discard(request.server)
+        request.seeking_hedge = True
+        self._policy.seek(work, not_before)
 
-    def drop(self, held, now):
-        """Let go of what is beside the first attempt; return the hedge.
+    def drop(self, request, now):
+        """Drop the hedge and return it, or ``None`` if none was sent.
 
-        ``None`` where nothing was sent: a server that was sought is no longer.
+        A pending search for a second server is cancelled too.
         """
-        self._stop_seeking(held)
-        held.hedges_rejected = 0
-        hedge, held.hedge = held.hedge, None
+        self._stop_seeking(request)
+        request.hedges_rejected = 0
+        hedge, request.hedge = request.hedge, None
         if hedge is not None:
-            self._ended(held, hedge.server, now, wasted=True)
+            self._report_end(request, hedge.server, now, wasted=True)
         return hedge
 
-    def withdraw(self, held, now):
-        """Return the effects of letting go on the reducer's own account."""
-        hedge = self.drop(held, now)
+    def withdraw(self, request, now):
+        """Drop the hedge by the reducer's own decision; return the effects."""
+        hedge = self.drop(request, now)
         if hedge is None:
             return []
-        return [effects.Withdraw(held.work.request_id, hedge.number)]
+        return [effects.Withdraw(request.work.request_id, hedge.number)]
 
-    def took_over(self, held, now):
-        """Make the hedge the one attempt, since it spoke first.
+    def promote(self, request, now):
+        """Keep only the hedge, since it produced output first.
 
-        Returns the server that is let go.
+        Returns the silent server, whose attempt is to be cancelled.
         """
-        silent = held.server
-        held.take_over()
-        self._ended(held, silent, now, failed=True)
-        return silent
-
-    def goes_on(self, held):
-        """Leave a request whose first attempt ended to its hedge, if any."""
-        if held.hedge is not None:
-            held.take_over()
+        silent_server = request.server
+        request.promote_hedge()
+        self._report_end(request, silent_server, now, failed=True)
+        return silent_server
+
+    def continue_with_hedge(self, request):
+        """Promote the hedge after the first attempt ended.
+
+        Returns whether there was one; otherwise the search for it stops.
+        """
+        if request.hedge is not None:
+            request.promote_hedge()
             return True
-        self._stop_seeking(held)
+        self._stop_seeking(request)
         return False
 
-    def not_begun(self, held, event, now):
-        """Take note that the hedge did not begin, and seek on.
+    def not_begun(self, request, event, now):
+        """Handle a hedge that did not begin, and look for another server.
 
-        Its server is asked again only once no other one is left.
+        The rejecting server is tried again only once no other one is left.
         """
         if not event.gone:
-            held.work.turned_away.add(held.hedge.server)
+            request.work.turned_away.add(request.hedge.server)
         pause = 0.0
         if event.server_said:
-            doubled = 2.0**held.hedges_rejected
-            pause = max(event.retry_after, REJECTED_PAUSE * doubled)
-        held.unbegin_hedge()
-        self._seek_on(
-            held,
+            backoff_factor = 2.0**request.hedges_rejected
+            pause = max(
+                event.retry_after, REJECTED_BACKOFF_SECONDS * backoff_factor
+            )
+        request.mark_hedge_not_begun()
+        self._seek_next(
+            request,
             now,
             pause,
             refused=event.server_said,
@@ -102,22 +107,22 @@
             gone=event.gone,
         )
 
-    def failed(self, held, event, now):
-        """Take note that the hedge broke off, and seek on."""
-        self._ends.ended_under(held.hedge, event, now)
-        self._seek_on(held, now)
+    def failed(self, request, event, now):
+        """Handle a failed hedge, and look for another server."""
+        self._ends.ended_under(request.hedge, event, now)
+        self._seek_next(request, now)
 
-    def _stop_seeking(self, held):
-        if held.seeking:
-            held.seeking = False
-            self._policy.stop_seeking(held.work.request_id)
+    def _stop_seeking(self, request):
+        if request.seeking_hedge:
+            request.seeking_hedge = False
+            self._policy.stop_seeking(request.work.request_id)
 
-    def _seek_on(self, held, now, pause=0.0, **how):
-        hedge, held.hedge = held.hedge, None
-        held.work.avoid.add(hedge.server)
-        self._ended(held, hedge.server, now, failed=True, **how)
-        self.seek(held, now + pause)
+    def _seek_next(self, request, now, pause=0.0, **details):
+        hedge, request.hedge = request.hedge, None
+        request.work.avoid.add(hedge.server)
+        self._report_end(request, hedge.server, now, failed=True, **details)
+        self.seek(request, now + pause)
 
-    def _ended(self, held, server, now, **how):
-        ended = work_module.Ended(held.work.request_id, server, **how)
+    def _report_end(self, request, server, now, **details):
+        ended = work_module.Ended(request.work.request_id, server, **details)
         self._policy.ended(ended, now)
--- a/packages/dandeliontrail/src/dandeliontrail/components/intake.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/intake.py
@@ -1,4 +1,4 @@
-"""Turns a caller's request into the unit that decisions are about."""
+"""Turns a caller's request into ``Work``, the input of decisions."""
 
 from .. import sentinels
 from ..coordination import fingerprints
@@ -7,16 +7,16 @@
 from ..decisions import work as work_module
 from ..resources import specs
 
-# Without a class target or a caller's own limit a request may wait this
-# long: the overnight reviews of the users wait for minutes, not for days.
-DEFAULT_TIMEOUT = 600.0
+# Timeout of a request whose caller sets none.  Overnight batch reviews wait
+# for minutes, not for days.
+DEFAULT_TIMEOUT_SECONDS = 600.0
 
 
 def work_of(state, event, now):
-    """Return the work of a request, or why there can be none."""
+    """Return the work of a request, or a ``Nothing`` with the reason."""
     if not state.log.ready:
-        # A valid key would be called unknown, or a class that is gone be
-        # served, by a state older than the failure domain had.
+        # State older than the failure domain's could reject a valid key as
+        # unknown, or serve a class that was deleted.
         return sentinels.Nothing(sentinels.Reason.NO_CONFIGURATION, 1.0)
     store = state.store
     organisation = store.organisation_of(event.key_hash)
@@ -31,7 +31,7 @@
         return sentinels.Nothing(sentinels.Reason.UNKNOWN_CLASS)
     if not state.directory.eligible(class_name, event.model, event.service):
         return sentinels.Nothing(sentinels.Reason.UNKNOWN_TARGET)
-    timeout = event.timeout or DEFAULT_TIMEOUT
+    timeout = event.timeout or DEFAULT_TIMEOUT_SECONDS
     return work_module.Work(
         request_id=event.request_id,
         organisation=organisation,
@@ -59,57 +59,60 @@
     )
 
 
-# The last of the priorities that engines honour.
+# The lowest priority that model engines support (0 is the highest).
 LOWEST_PRIORITY = 9
-# A caller that meets an instance without proof may come back at once: the
-# balancer leads it to another instance.
-UNPROVEN_RETRY = 0.3
-# One that met an instance without state has waited for it already, and is
-# led to another instance as well.
-NO_STATE_RETRY = 0.3
+# Retry-After of an instance that cannot prove its state recent: short, since
+# the load balancer sends the retry to another instance.
+UNPROVEN_RETRY_SECONDS = 0.3
+# Retry-After of an instance without state: the caller has waited already, and
+# its retry goes to another instance as well.
+NO_STATE_RETRY_SECONDS = 0.3
 
 
 def has_state(state):
-    """Tell whether requests for routes can be judged here by now."""
+    """Tell whether this instance has the state to handle routed requests."""
     return state.log.ready and state.routing.table is not None
 
 
 def routed_work_of(state, event, received, now):
-    """Return the work of a request for a route, or why there can be none.
+    """Return the work of a routed request, or a ``Nothing``.
 
-    Its time counts from when it was ``received``, which may be a while ago.
+    Its deadline counts from ``received``, which may be earlier than ``now`` if
+    the request waited for the state.
     """
     if not has_state(state):
         return sentinels.Nothing(
-            sentinels.Reason.NO_CONFIGURATION, NO_STATE_RETRY
+            sentinels.Reason.NO_CONFIGURATION, NO_STATE_RETRY_SECONDS
         )
     table = state.routing.table
     proven_ago = state.log.proven_ago(now)
     route = table.find(event.host, event.path)
     if route is None:
-        return _turn_away(state, sentinels.Reason.UNKNOWN_ROUTE, proven_ago)
+        return _not_found(state, sentinels.Reason.UNKNOWN_ROUTE, proven_ago)
     organisation = None
     if table.keyed and not route.public:
         organisation = table.owner(event.key_hash)
         if organisation is None:
-            return _turn_away(state, sentinels.Reason.UNKNOWN_KEY, proven_ago)
-        bound = state.routing.options.key_proof
-        if bound is not None and not _within(proven_ago, bound):
+            return _not_found(state, sentinels.Reason.UNKNOWN_KEY, proven_ago)
+        max_age = state.routing.options.key_proof
+        if max_age is not None and not _proven_within(proven_ago, max_age):
             return _not_proven()
     return _routed_work(event, route, organisation, received)
 
 
-def _within(proven_ago, bound):
-    return proven_ago is not None and proven_ago <= bound
+def _proven_within(proven_ago, max_age):
+    return proven_ago is not None and proven_ago <= max_age
 
 
 def _not_proven():
-    return sentinels.Nothing(sentinels.Reason.NOT_PROVEN, UNPROVEN_RETRY)
+    return sentinels.Nothing(
+        sentinels.Reason.NOT_PROVEN, UNPROVEN_RETRY_SECONDS
+    )
 
 
-def _turn_away(state, reason, proven_ago):
-    """Say that something does not exist, where that is certain."""
-    if _within(proven_ago, state.routing.options.refusal_proof):
+def _not_found(state, reason, proven_ago):
+    """Return ``reason`` if the state is recent enough to be certain."""
+    if _proven_within(proven_ago, state.routing.options.refusal_proof):
         return sentinels.Nothing(reason)
     return _not_proven()
 
@@ -118,9 +121,9 @@
     timeout = route.timeout
     if event.timeout is not None:
         timeout = min(timeout, event.timeout)
-    rank = organisation.priority if organisation else 0
-    step = service_traits.step_of(route.priority)
-    priority = rank * service_traits.ROUTE_PRIORITIES + step
+    organisation_rank = organisation.priority if organisation else 0
+    route_step = service_traits.step_of(route.priority)
+    priority = organisation_rank * service_traits.ROUTE_PRIORITIES + route_step
     return work_module.Work(
         request_id=event.request_id,
         organisation=organisation.name if organisation else "",
@@ -140,7 +143,7 @@
         routed=True,
         streamed=route.streamed,
         start_priority=min(priority, LOWEST_PRIORITY),
-        route_priority=step,
+        route_priority=route_step,
         fingerprint=fingerprints.of_request(
             organisation.name if organisation else "",
             event.host,
--- a/packages/dandeliontrail/src/dandeliontrail/components/life.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/life.py
@@ -1,8 +1,8 @@
-"""The life of a request as an explicit state machine.
+"""The life cycle of a request as an explicit state machine.
 
 ``NOT_RUN`` can be reached only from phases in which no backend server can
-have begun.  That single table is what makes the word "not run" true; the
-check on it stays on in production.
+have begun the request.  The transition table alone guarantees that a reported
+"not run" is true; the check against it stays enabled in production.
 """
 
 import enum
@@ -14,7 +14,7 @@
 
 
 class Phase(enum.Enum):
-    """Where a request is in its life."""
+    """The phase of a request in its life cycle."""
 
     RECEIVED = "received"
     CLAIMING = "claiming"
@@ -27,17 +27,17 @@
     UNKNOWN = "unknown"
 
 
-_NEXT = {
+_TRANSITIONS = {
     Phase.RECEIVED: {Phase.CLAIMING, Phase.QUEUED, Phase.NOT_RUN},
-    # Another claim on the key may turn out to hold it: then the request
-    # ends here, with that one's answer, or as unknown where it is lost.
+    # If another request holds the key, this one ends here: with that
+    # request's answer, or as unknown if its holder is lost.
     Phase.CLAIMING: {
         Phase.QUEUED,
         Phase.NOT_RUN,
         Phase.COMPLETE,
         Phase.UNKNOWN,
     },
-    # Unknown only after an attempt that may have begun; see ``move``.
+    # UNKNOWN only after an attempt may have begun; see ``transition_to``.
     Phase.QUEUED: {Phase.DISPATCHED, Phase.NOT_RUN, Phase.UNKNOWN},
     Phase.DISPATCHED: {
         Phase.MAY_HAVE_BEGUN,
@@ -45,8 +45,8 @@
         Phase.NOT_RUN,
         Phase.UNKNOWN,
     },
-    # Back to QUEUED only on the server's own word that it did not begin, or
-    # for a repeatable request, whose earlier attempt then counts as begun.
+    # Back to QUEUED only if the server itself reports that it did not begin,
+    # or for a repeatable request, whose earlier attempt still counts as begun.
     Phase.MAY_HAVE_BEGUN: {
         Phase.STREAMING,
         Phase.QUEUED,
@@ -59,17 +59,17 @@
     Phase.UNKNOWN: set(),
 }
 
-ENDED = frozenset({Phase.COMPLETE, Phase.NOT_RUN, Phase.UNKNOWN})
-# Sent to a server, and nothing of an answer has come.
-AT_A_SERVER = frozenset({Phase.DISPATCHED, Phase.MAY_HAVE_BEGUN})
+TERMINAL = frozenset({Phase.COMPLETE, Phase.NOT_RUN, Phase.UNKNOWN})
+# Sent to a server that has not produced output yet.
+AWAITING_OUTPUT = frozenset({Phase.DISPATCHED, Phase.MAY_HAVE_BEGUN})
 WAITING = frozenset({Phase.RECEIVED, Phase.CLAIMING, Phase.QUEUED})
 
 
 class Hedge(msgspec.Struct):
-    """An attempt beside one whose server is silent.
+    """A second attempt at a request while its first server is silent.
 
-    ``began`` tells that it may have begun, ``incarnation`` is the server's
-    name and epoch.
+    ``may_have_begun`` tells whether the server may have begun the request;
+    ``incarnation`` is the server's name and epoch.
     """
 
     work: work_module.Work
@@ -77,25 +77,30 @@
     server: str
     incarnation: tuple
     dispatched: float
-    began: bool = False
+    may_have_begun: bool = False
     output_at: float = 0.0
 
 
 class Life(msgspec.Struct):
     """One request from its arrival to its outcome.
 
-    ``begun`` counts the attempts that may have begun; it never falls but
-    by the server's own word.  ``arrivals`` counts the servers that it
-    reached, whether they ran it or not, but for hedges that did not.
-    ``first_output`` is zero until there is one.  ``claimed`` tells that the
-    right to run its idempotency key was granted, ``counted`` that it is in a
-    window of usage.
-    ``incarnation`` is the server's name and epoch, ``output_at`` when the
-    present attempt had its first output, zero until then.  ``attempt`` is the
-    number of the present attempt, ``dispatches`` that of the latest one;
-    ``seeking`` tells that a server is sought beside a silent one, ``hedge`` is
-    the attempt there, and ``hedges_rejected`` how many servers turned such an
-    attempt away.
+    Times are in seconds on the clock of this instance.
+
+    - ``begun``: number of attempts that may have begun; it decreases only
+      when a server reports that it did not begin.
+    - ``servers_reached``: number of servers that the request reached, whether
+      they ran it or not; hedges that were rejected are not included.
+    - ``first_output``: time of the first output of any attempt, or zero.
+    - ``holds_key``: whether its claim on the idempotency key was granted.
+    - ``usage_counted``: whether it is counted in a usage window.
+    - ``incarnation``: name and epoch of the current attempt's server.
+    - ``output_at``: time of the current attempt's first output, or zero.
+    - ``attempt``: number of the current attempt.
+    - ``dispatches``: number of the latest attempt, hedges included.
+    - ``seeking_hedge``: whether the policy is looking for a second server
+      because the current one is silent.
+    - ``hedge``: the attempt at the second server, if one was sent.
+    - ``hedges_rejected``: number of servers that rejected a hedge.
     """
 
     work: work_module.Work
@@ -105,21 +110,25 @@
     server: str = ""
     dispatched: float = 0.0
     first_output: float = 0.0
-    claimed: bool = False
-    arrivals: int = 0
-    counted: bool = False
+    holds_key: bool = False
+    servers_reached: int = 0
+    usage_counted: bool = False
     incarnation: tuple = ("", 0)
     output_at: float = 0.0
     dispatches: int = 0
-    seeking: bool = False
+    seeking_hedge: bool = False
     hedge: Hedge | None = None
     hedges_rejected: int = 0
 
-    def move(self, phase):
-        """Enter ``phase``, which the table must allow."""
+    def transition_to(self, phase):
+        """Enter ``phase``.
+
+        Raises ``InvariantBroken`` if the transition table does not allow it,
+        or if ``NOT_RUN`` or ``UNKNOWN`` would contradict ``begun``.
+        """
         request_id = self.work.request_id
         invariants.check(
-            phase in _NEXT[self.phase],
+            phase in _TRANSITIONS[self.phase],
             "request-life",
             f"{request_id} from {self.phase.value} to {phase.value}",
         )
@@ -138,14 +147,14 @@
         self.phase = phase
 
     def has_attempt(self, number):
-        """Tell whether an attempt is the present one, or the hedge."""
+        """Tell whether ``number`` is the current attempt or the hedge."""
         if self.hedge is not None and self.hedge.number == number:
             return True
         return self.attempt == number
 
     def dispatch(self, server, incarnation, now):
-        """Take note of the server that the request is given to."""
-        self.move(Phase.DISPATCHED)
+        """Record that the request is sent to ``server``."""
+        self.transition_to(Phase.DISPATCHED)
         self.dispatches += 1
         self.attempt = self.dispatches
         self.server = server
@@ -154,63 +163,63 @@
         self.output_at = 0.0
 
     def dispatch_hedge(self, server, incarnation, now):
-        """Take note of the server that is asked beside the silent one."""
+        """Record that a hedge is sent to ``server``."""
         invariants.check(
             self.work.repeatable and self.hedge is None,
             "one-hedge-of-repeatable-work",
             f"{self.work.request_id} to {server}",
         )
         self.dispatches += 1
-        self.seeking = False
+        self.seeking_hedge = False
         self.hedge = Hedge(
             self.work, self.dispatches, server, incarnation, now
         )
 
-    def take_over(self):
-        """Make the hedge the present attempt."""
+    def promote_hedge(self):
+        """Make the hedge the current attempt."""
         hedge, self.hedge = self.hedge, None
         if self.phase is not Phase.QUEUED:
-            self.move(Phase.QUEUED)
-        self.move(Phase.DISPATCHED)
-        if hedge.began:
-            self.move(Phase.MAY_HAVE_BEGUN)
+            self.transition_to(Phase.QUEUED)
+        self.transition_to(Phase.DISPATCHED)
+        if hedge.may_have_begun:
+            self.transition_to(Phase.MAY_HAVE_BEGUN)
         self.attempt = hedge.number
         self.server = hedge.server
         self.incarnation = hedge.incarnation
         self.dispatched = hedge.dispatched
         self.output_at = 0.0
 
-    def begin(self):
-        """Take note that the present attempt may have begun."""
-        self.move(Phase.MAY_HAVE_BEGUN)
+    def mark_begun(self):
+        """Record that the current attempt may have begun."""
+        self.transition_to(Phase.MAY_HAVE_BEGUN)
         self._count_begun()
 
-    def begin_hedge(self):
-        """Take note that the hedge may have begun."""
-        self.hedge.began = True
+    def mark_hedge_begun(self):
+        """Record that the hedge may have begun."""
+        self.hedge.may_have_begun = True
         self._count_begun()
 
-    def unbegin_hedge(self):
-        """Take back the hedge on the server's own word.
+    def mark_hedge_not_begun(self):
+        """Undo ``mark_hedge_begun`` after the server reported no start.
 
-        It leaves no mark on how often the request itself was turned away.
+        The rejection does not count towards those of the request itself.
         """
-        if self.hedge.began:
+        if self.hedge.may_have_begun:
             self.begun -= 1
-            self.arrivals -= 1
+            self.servers_reached -= 1
             self.hedges_rejected += 1
 
     def _count_begun(self):
         self.begun += 1
-        self.arrivals += 1
+        self.servers_reached += 1
         invariants.check(
             self.work.repeatable or self.begun == 1,
             "non-repeatable-runs-at-most-once",
             f"{self.work.request_id} begins for the {self.begun}. time",
         )
 
-    def unbegin(self):
-        """Take back the present attempt on the server's own word."""
+    def mark_not_begun(self):
+        """Requeue after the server reported that it did not begin."""
         if self.phase is Phase.MAY_HAVE_BEGUN:
             self.begun -= 1
-        self.move(Phase.QUEUED)
+        self.transition_to(Phase.QUEUED)
--- a/packages/dandeliontrail/src/dandeliontrail/components/measures.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/measures.py
@@ -1,16 +1,18 @@
-"""What the life of a request adds to the histograms."""
+"""Latency measures of requests, for the histograms."""
 
 from ..effects import reports
 
 
 def since_received(work, metric, now):
-    """Return the time since the request came in, as a measure."""
-    passed = (now - work.received) * 1000.0
-    return reports.Measure(metric, work.class_name, work.organisation, passed)
+    """Return the time since the request was received, as a measure."""
+    elapsed_ms = (now - work.received) * 1000.0
+    return reports.Measure(
+        metric, work.class_name, work.organisation, elapsed_ms
+    )
 
 
-def gaps(work, gaps_ms):
-    """Return the times between two outputs, each as a measure."""
+def between_tokens(work, gaps_ms):
+    """Return one measure for each gap between two outputs."""
     return [
         reports.Measure(
             reports.Metric.BETWEEN_TOKENS,
--- a/packages/dandeliontrail/src/dandeliontrail/components/requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/requests.py
@@ -1,4 +1,8 @@
-"""The component that answers for the outcome of every request."""
+"""Component that drives every request from arrival to its final outcome.
+
+It reacts to the events of the request life cycle, asks the policy where to
+run each request, and decides on retries, hedges and refusals.
+"""
 
 import heapq
 
@@ -23,25 +27,29 @@
 from . import life
 from . import measures
 
-# A server that says "not run" is busy.  Asked again at once, it would be
-# asked as fast as it can refuse.
-PAUSE_SECONDS = 0.25
-# So many servers may turn a request away before its caller is told.
-MOST_REJECTIONS = 3
-# A caller whose request its servers turned away may find them less busy
-# after a few answers have ended, which take some tenths of a second each.
-BUSY_RETRY = 0.5
-
-# What a caller is told whom this instance cannot serve to the end: by the
-# time given the balancer has noticed, and asks others.
+# Delay before a request that a busy server rejected is retried.  Without it
+# the request would be resent as fast as the server can reject it.
+RETRY_PAUSE_SECONDS = 0.25
+# Number of servers that may reject a routed request before it is refused.
+MAX_REJECTIONS = 3
+# Retry-After when servers rejected or failed a routed request: answers take a
+# few tenths of a second each, so by then some will have finished.
+BUSY_RETRY_SECONDS = 0.5
+
+# Sent to callers whose requests a draining instance cannot finish.  Within the
+# given time the load balancer notices and uses other instances.
 DRAINING = sentinels.Nothing(sentinels.Reason.DRAINING, 1.0)
-# What a caller is told whose request ends its servers, after which a resend
-# is refused too: long enough that only an operator's remedy shortens it.
+# Sent to callers whose request repeatedly crashed its backend servers.  A
+# resend is refused too, so the delay is long: only an operator can unblock the
+# request sooner.
 ENDS_SERVERS = sentinels.Nothing(sentinels.Reason.ENDS_SERVERS, 60.0)
 
 
 class Requests(claim_rounds.Listener, interfaces.Component):
-    """Takes requests through their life with the help of a policy."""
+    """Tracks open requests and applies the decisions of a policy.
+
+    ``lives`` maps the id of each open request to its ``life.Life``.
+    """
 
     def __init__(self, state, policy, claimer, ends):
         self._state = state
@@ -49,9 +57,9 @@
         self._claims = claimer
         self._ends = ends
         claimer.listener = self
-        self._paused = []
-        self._early = early_requests.EarlyRequests()
-        self._begun = begun.Begun(state.duties)
+        self._delayed_retries = []
+        self._early_requests = early_requests.EarlyRequests()
+        self._start_counter = begun.StartCounter(state.duties)
         self._hedges = hedges.Hedges(policy, ends)
         self.lives = {}
         self._endings = endings.Endings(
@@ -59,45 +67,45 @@
         )
 
     def handlers(self):
-        """Return the handlers of the request events."""
+        """Return the handlers of request events and of peers' load reports."""
         return {
-            events.RequestReceived: self._received,
-            events.RoutedRequestReceived: self._routed,
-            events.AttemptBegan: self._began,
+            events.RequestReceived: self._request_received,
+            events.RoutedRequestReceived: self._routed_request_received,
+            events.AttemptBegan: self._attempt_began,
             events.NotBegun: self._not_begun,
             events.FirstOutput: self._first_output,
-            events.AttemptSilent: self._silent,
-            events.AttemptSpoke: self._spoke,
-            events.AnswerFinished: self._finished,
-            events.AttemptFailed: self._failed,
+            events.AttemptSilent: self._attempt_silent,
+            events.AttemptSpoke: self._attempt_spoke,
+            events.AnswerFinished: self._answer_finished,
+            events.AttemptFailed: self._attempt_failed,
             events.CallerGone: self._caller_gone,
             events.Overdue: self._overdue,
             events.CutShort: self._cut_short,
-            server_loads.ServerLoads: self._loads_heard,
+            server_loads.ServerLoads: self._server_loads_received,
         }
 
     def tick(self, now):
-        """Place what can be placed and refuse what is overdue."""
-        while self._paused and self._paused[0][0] <= now:
-            _, request_id = heapq.heappop(self._paused)
-            held = self.lives.get(request_id)
-            if held:
-                self._policy.requeue(held.work, now)
-        out = answers.beliefs(self._policy.take_beliefs())
+        """Requeue due retries, admit early requests and run the policy."""
+        while self._delayed_retries and self._delayed_retries[0][0] <= now:
+            _, request_id = heapq.heappop(self._delayed_retries)
+            request = self.lives.get(request_id)
+            if request:
+                self._policy.requeue(request.work, now)
+        out = answers.health_lines(self._policy.take_beliefs())
         ready = intake.has_state(self._state)
-        for event, received in self._early.due(ready, now):
-            out.extend(self._take_routed(event, received, now))
-        return out + self._decide(now)
+        for event, received in self._early_requests.due(ready, now):
+            out.extend(self._admit_routed(event, received, now))
+        return out + self._run_policy(now)
 
-    def _received(self, event, now):
+    def _request_received(self, event, now):
         work = intake.work_of(self._state, event, now)
         if not work:
             return [answers.refusal(event.request_id, work)]
-        held = life.Life(work)
-        self.lives[work.request_id] = held
+        request = life.Life(work)
+        self.lives[work.request_id] = request
         if not event.idempotency_key:
-            return self._offer(held, now)
-        held.move(life.Phase.CLAIMING)
+            return self._enqueue(request, now)
+        request.transition_to(life.Phase.CLAIMING)
         wanted = claim_rounds.Wanted(
             work.request_id,
             claims_module.key_of(work.organisation, event.idempotency_key),
@@ -107,388 +115,419 @@
         )
         return self._claims.begin(wanted, now)
 
-    def _routed(self, event, now):
-        """Take in a request for a route; it has no key to claim."""
+    def _routed_request_received(self, event, now):
+        """Admit a routed request, or hold it until the state has loaded.
+
+        Routed requests have no idempotency key to claim.
+        """
         if not intake.has_state(self._state) and (
-            self._early.hold(event, now)
+            self._early_requests.hold(event, now)
         ):
             return []
-        return self._take_routed(event, now, now)
+        return self._admit_routed(event, now, now)
 
-    def _take_routed(self, event, received, now):
-        """Queue a request that came at ``received``, or turn it away."""
+    def _admit_routed(self, event, received, now):
+        """Queue a request that arrived at ``received``, or refuse it."""
         work = intake.routed_work_of(self._state, event, received, now)
         if not work:
             return [
                 answers.refusal(event.request_id, work),
-                answers.turned_away(self._state, event, work, now),
+                answers.turned_away_line(self._state, event, work, now),
             ]
-        held = life.Life(work)
-        self.lives[work.request_id] = held
-        return self._offer(held, now)
+        request = life.Life(work)
+        self.lives[work.request_id] = request
+        return self._enqueue(request, now)
 
-    # What the claim of a request came to; see ``claim_rounds.Listener``.
+    # Results of idempotency key claims; see ``claim_rounds.Listener``.
 
     def claim_granted(self, request_id, now):
-        """Queue a request that may run its key."""
-        held = self.lives[request_id]
-        held.claimed = True
-        return self._offer(held, now)
+        """Queue a request that holds the claim on its key."""
+        request = self.lives[request_id]
+        request.holds_key = True
+        return self._enqueue(request, now)
 
     def claim_unneeded(self, request_id, now):
-        """Queue a repeatable request whose key cannot be claimed."""
-        return self._offer(self.lives[request_id], now)
+        """Queue a repeatable request although its key cannot be claimed."""
+        return self._enqueue(self.lives[request_id], now)
 
     def claim_answered(self, request_id, answer, now):
-        """Give the answer that the key has already."""
-        held = self.lives.pop(request_id)
-        held.move(life.Phase.COMPLETE)
+        """Replay the stored answer of the key."""
+        request = self.lives.pop(request_id)
+        request.transition_to(life.Phase.COMPLETE)
         return [
             effects.Replay(request_id, answer),
-            answers.decision(held.work, "replayed", answer.backend_server),
+            answers.decision(request.work, "replayed", answer.backend_server),
         ]
 
     def claim_refused(self, request_id, nothing, ran, now):
-        """End a request whose key it may not run."""
-        held = self.lives.pop(request_id)
-        held.move(life.Phase.UNKNOWN if ran else life.Phase.NOT_RUN)
+        """Refuse a request that was not granted its key."""
+        request = self.lives.pop(request_id)
+        request.transition_to(
+            life.Phase.UNKNOWN if ran else life.Phase.NOT_RUN
+        )
         return [
             answers.refusal(request_id, nothing, begun=ran),
-            answers.decision(held.work, nothing.reason.value, ""),
+            answers.decision(request.work, nothing.reason.value, ""),
         ]
 
-    def _offer(self, held, now):
-        if self._ends.holds(held.work.fingerprint, now):
-            return self._endings.refuse(held, ENDS_SERVERS, now)
-        offered = self._policy.offer(held.work, now)
+    def _enqueue(self, request, now):
+        if self._ends.holds(request.work.fingerprint, now):
+            return self._endings.refuse(request, ENDS_SERVERS, now)
+        offered = self._policy.offer(request.work, now)
         if not offered:
-            return self._endings.refuse(held, offered, now)
-        held.move(life.Phase.QUEUED)
-        return self._decide(now)
-
-    def _decide(self, now):
-        out = self._hold_back(now)
-        decided = self._policy.next(now, self._state.directory)
-        for item in decided:
-            held = self.lives.get(item.work.request_id)
-            if held is None:
+            return self._endings.refuse(request, offered, now)
+        request.transition_to(life.Phase.QUEUED)
+        return self._run_policy(now)
+
+    def _run_policy(self, now):
+        out = self._end_blocked(now)
+        decisions = self._policy.next(now, self._state.directory)
+        for item in decisions:
+            request = self.lives.get(item.work.request_id)
+            if request is None:
                 continue
             if isinstance(item, work_module.Placement):
-                out.extend(dispatching.dispatch(self._state, held, item, now))
+                out.extend(
+                    dispatching.dispatch(self._state, request, item, now)
+                )
             else:
                 out.extend(
-                    self._endings.refuse(held, item.nothing, now, item.grounds)
+                    self._endings.refuse(
+                        request, item.nothing, now, item.grounds
+                    )
                 )
         return out
 
-    def _hold_back(self, now):
-        """End what has come to be held back and has not been answered.
+    def _end_blocked(self, now):
+        """End unanswered requests that were blocked since the last call.
 
-        What waits at a server is taken from it before it begins there.
+        A request is blocked when several servers crashed while running it.
+        One that waits at a server is withdrawn before it starts there.
         """
         fingerprints = set(self._ends.take_newly_held())
         if not fingerprints:
             return []
         out = []
-        for held in list(self.lives.values()):
-            if held.work.fingerprint not in fingerprints:
+        for request in list(self.lives.values()):
+            if request.work.fingerprint not in fingerprints:
                 continue
-            out.extend(self._hedges.withdraw(held, now))
-            if held.phase is life.Phase.QUEUED:
-                self._policy.withdraw(held.work.request_id)
-                out.extend(self._endings.refuse(held, ENDS_SERVERS, now))
-            elif held.phase in life.AT_A_SERVER and _may_stop(held.work):
-                out.extend(self._take_back(held, now))
+            out.extend(self._hedges.withdraw(request, now))
+            if request.phase is life.Phase.QUEUED:
+                self._policy.withdraw(request.work.request_id)
+                out.extend(self._endings.refuse(request, ENDS_SERVERS, now))
+            elif request.phase in life.AWAITING_OUTPUT and _is_stoppable(
+                request.work
+            ):
+                out.extend(self._cut_off_blocked(request, now))
         return out
 
-    def _take_back(self, held, now):
-        begun = held.begun > 0
-        request_id = held.work.request_id
+    def _cut_off_blocked(self, request, now):
+        begun = request.begun > 0
+        request_id = request.work.request_id
         refusal = answers.refusal(request_id, ENDS_SERVERS, begun=begun)
         reason = ENDS_SERVERS.reason.value
         return [effects.CutOff(refusal)] + self._endings.stop(
-            held, reason, now
+            request, reason, now
         )
 
-    def _current(self, event):
-        """Return the life that an event is about, if it still is.
+    def _find_current(self, event):
+        """Return the request whose current attempt the event is about.
 
-        An answer of an attempt that was given up comes late or out of
-        order; it must reach neither this request's caller nor another's.
+        Returns ``None`` for events of abandoned attempts, which may arrive
+        late or out of order: their output must reach neither the caller of
+        this request nor any other caller.
         """
-        held = self.lives.get(event.request_id)
-        if held is None or held.attempt != event.attempt:
+        request = self.lives.get(event.request_id)
+        if request is None or request.attempt != event.attempt:
             return None
-        return held
+        return request
 
-    def _hedged(self, event):
-        """Return the life that has the event's attempt as its hedge."""
-        held = self.lives.get(event.request_id)
-        if held is None or held.hedge is None:
+    def _find_hedged(self, event):
+        """Return the request whose hedge the event is about, if any."""
+        request = self.lives.get(event.request_id)
+        if request is None or request.hedge is None:
             return None
-        return held if held.hedge.number == event.attempt else None
-
-    def _began(self, event, now):
-        held = self._current(event)
-        if held:
-            held.begin()
-        elif hedged := self._hedged(event):
-            hedged.begin_hedge()
+        return request if request.hedge.number == event.attempt else None
+
+    def _attempt_began(self, event, now):
+        request = self._find_current(event)
+        if request:
+            request.mark_begun()
+        elif hedged := self._find_hedged(event):
+            hedged.mark_hedge_begun()
         return []
 
-    def _silent(self, event, now):
-        """Look for another server beside one that is silent."""
-        held = self._current(event)
-        if held is None:
+    def _attempt_silent(self, event, now):
+        """Look for a second server while the current one is silent."""
+        request = self._find_current(event)
+        if request is None:
             return []
-        self._hedges.seek(held, now)
-        out = [answers.attempt_line(held, "attempt silent", now)]
-        return out + (self._decide(now) if held.seeking else [])
+        self._hedges.seek(request, now)
+        out = [answers.attempt_line(request, "attempt silent", now)]
+        return out + (self._run_policy(now) if request.seeking_hedge else [])
 
-    def _spoke(self, event, now):
-        """Let go of the other one of two attempts."""
-        hedged = self._hedged(event)
+    def _attempt_spoke(self, event, now):
+        """Keep the attempt that produced output and cancel the other one."""
+        hedged = self._find_hedged(event)
         if hedged:
-            self._begun.broke_off(hedged)
+            self._start_counter.attempt_failed(hedged)
             out = [answers.attempt_line(hedged, "attempt overtaken", now)]
-            silent = self._hedges.took_over(hedged, now)
+            silent = self._hedges.promote(hedged, now)
             out.extend(self._endings.cancel(hedged, silent))
-            return out + self._decide(now)
-        held = self._current(event)
-        if held is None:
+            return out + self._run_policy(now)
+        request = self._find_current(event)
+        if request is None:
             return []
-        out = [answers.attempt_line(held, "attempt spoke again", now)]
-        hedge = self._hedges.drop(held, now)
+        out = [answers.attempt_line(request, "attempt spoke again", now)]
+        hedge = self._hedges.drop(request, now)
         if hedge is None:
             return out
-        out.extend(self._endings.cancel(held, hedge.server))
-        return out + self._decide(now)
+        out.extend(self._endings.cancel(request, hedge.server))
+        return out + self._run_policy(now)
 
     def _not_begun(self, event, now):
-        hedged = self._hedged(event)
+        hedged = self._find_hedged(event)
         if hedged:
             self._hedges.not_begun(hedged, event, now)
-            return self._decide(now)
-        held = self._current(event)
-        if held is None:
+            return self._run_policy(now)
+        request = self._find_current(event)
+        if request is None:
             return []
-        self._endings.release(
-            held,
+        self._endings.report_attempt_end(
+            request,
             now,
             failed=True,
             refused=event.server_said,
             unreachable=not event.server_said,
             gone=event.gone,
         )
-        held.unbegin()
-        if self._hedges.goes_on(held):
-            return self._decide(now)
-        if held.work.routed:
-            return self._try_elsewhere(held, now, counts=event.server_said)
+        request.mark_not_begun()
+        if self._hedges.continue_with_hedge(request):
+            return self._run_policy(now)
+        if request.work.routed:
+            return self._retry_routed(
+                request, now, reached_server=event.server_said
+            )
         if event.server_said:
-            pause = max(PAUSE_SECONDS, event.retry_after)
-            return self._pause(held, pause, now) + self._decide(now)
-        return self._try_again(held, now)
+            pause = max(RETRY_PAUSE_SECONDS, event.retry_after)
+            return self._schedule_retry(
+                request, pause, now
+            ) + self._run_policy(now)
+        return self._retry(request, now)
 
-    def _try_again(self, held, now, begun=False):
-        """Queue a request for another server, or end it.
+    def _retry(self, request, now, begun=False):
+        """Queue a request for another server, or refuse it.
 
-        Where an attempt has ``begun``, the policy has a budget for more.
+        If the failed attempt may have ``begun``, the retry counts against the
+        retry budget of the policy.
         """
-        held.work.avoid.add(held.server)
-        if self._ends.holds(held.work.fingerprint, now):
-            return self._refuse(held, ENDS_SERVERS, now)
-        if held.dispatches >= hedges.MOST_ATTEMPTS:
+        request.work.avoid.add(request.server)
+        if self._ends.holds(request.work.fingerprint, now):
+            return self._refuse(request, ENDS_SERVERS, now)
+        if request.dispatches >= hedges.MAX_ATTEMPTS:
             nothing = sentinels.Nothing(sentinels.Reason.NO_SERVER, 1.0)
-            return self._refuse(held, nothing, now)
-        if self._all_avoided(held.work):
-            # One of them may have come back by then.
-            held.work.avoid.clear()
-            return self._pause(held, PAUSE_SECONDS, now) + self._decide(now)
+            return self._refuse(request, nothing, now)
+        if self._avoids_all_servers(request.work):
+            # One of them may have recovered by then.
+            request.work.avoid.clear()
+            return self._schedule_retry(
+                request, RETRY_PAUSE_SECONDS, now
+            ) + self._run_policy(now)
         if not begun:
-            self._policy.requeue(held.work, now)
-        elif not self._policy.retry(held.work, now):
+            self._policy.requeue(request.work, now)
+        elif not self._policy.retry(request.work, now):
             nothing = sentinels.Nothing(sentinels.Reason.SERVER_FAILED, 1.0)
-            return self._refuse(held, nothing, now)
-        return self._decide(now)
+            return self._refuse(request, nothing, now)
+        return self._run_policy(now)
 
-    def _try_elsewhere(self, held, now, counts):
-        """Queue a routed request for another server, or end it.
+    def _retry_routed(self, request, now, reached_server):
+        """Queue a routed request for another server, or refuse it.
 
-        ``counts`` tells that the last attempt reached its server: another
-        one draws on the budget of repeats.  The route's attempts are those
-        that may have run; those that servers turned away have a bound of
-        their own.  A server that could not be reached costs neither.
+        ``reached_server`` tells whether the last attempt reached its server;
+        if so, the retry counts against the retry budget.  The route's
+        ``max_attempts`` bounds attempts that may have run, and
+        ``MAX_REJECTIONS`` those that servers rejected.  Attempts whose server
+        was unreachable count against neither.
         """
-        work = held.work
-        work.avoid.add(held.server)
+        work = request.work
+        work.avoid.add(request.server)
         if self._ends.holds(work.fingerprint, now):
-            return self._refuse(held, ENDS_SERVERS, now)
-        rejected = held.arrivals - held.begun
-        if held.begun >= work.max_attempts or rejected >= MOST_REJECTIONS:
-            return self._give_up(held, now)
-        if not counts:
+            return self._refuse(request, ENDS_SERVERS, now)
+        rejected = request.servers_reached - request.begun
+        if request.begun >= work.max_attempts or rejected >= MAX_REJECTIONS:
+            return self._refuse_after_failures(request, now)
+        if not reached_server:
             self._policy.requeue(work, now)
         elif not self._policy.retry(work, now):
-            return self._give_up(held, now)
-        return self._decide(now)
+            return self._refuse_after_failures(request, now)
+        return self._run_policy(now)
 
-    def _give_up(self, held, now):
+    def _refuse_after_failures(self, request, now):
         nothing = sentinels.Nothing(
             sentinels.Reason.SERVER_FAILED
-            if held.begun
+            if request.begun
             else sentinels.Reason.ALL_BUSY,
-            BUSY_RETRY,
+            BUSY_RETRY_SECONDS,
         )
-        return self._refuse(held, nothing, now)
+        return self._refuse(request, nothing, now)
 
-    def _all_avoided(self, work):
+    def _avoids_all_servers(self, work):
         servers = self._state.directory.eligible(
             work.class_name, work.model, work.service
         )
         names = {item.announcement.backend_server for item in servers}
         return names <= work.avoid
 
-    def _pause(self, held, seconds, now):
-        due = min(now + seconds, held.work.deadline)
-        heapq.heappush(self._paused, (due, held.work.request_id))
+    def _schedule_retry(self, request, seconds, now):
+        due = min(now + seconds, request.work.deadline)
+        heapq.heappush(self._delayed_retries, (due, request.work.request_id))
         return []
 
     def _first_output(self, event, now):
-        held = self._current(event)
-        if held is None:
+        request = self._find_current(event)
+        if request is None:
             return []
-        held.move(life.Phase.STREAMING)
-        held.output_at = now
+        request.transition_to(life.Phase.STREAMING)
+        request.output_at = now
         self._policy.first_output(event.request_id, now)
-        if held.first_output:
+        if request.first_output:
             return []
-        self._begun.first_output(held, now)
-        held.first_output = now
+        self._start_counter.first_output(request, now)
+        request.first_output = now
         out = [
-            measures.since_received(held.work, reports.Metric.FIRST_TOKEN, now)
+            measures.since_received(
+                request.work, reports.Metric.FIRST_TOKEN, now
+            )
         ]
-        # Its engine has read the prompt and has room for the next.
-        return out + self._decide(now) if held.work.routed else out
+        # The engine has processed the prompt, so it has capacity for the next
+        # request.
+        return out + self._run_policy(now) if request.work.routed else out
 
-    def _finished(self, event, now):
-        held = self._current(event)
-        if held is None:
+    def _answer_finished(self, event, now):
+        request = self._find_current(event)
+        if request is None:
             return []
-        self._hedges.drop(held, now)
-        held.move(life.Phase.COMPLETE)
-        work = held.work
+        self._hedges.drop(request, now)
+        request.transition_to(life.Phase.COMPLETE)
+        work = request.work
         del self.lives[work.request_id]
         self._ends.served(work.fingerprint, now)
         ended = work_module.Ended(
             work.request_id,
-            held.server,
+            request.server,
             event.output_tokens,
             gaps_ms=event.gaps_ms,
         )
         self._policy.ended(ended, now)
         if not work.routed:
-            attainment.count(self._state, held, now)
-        counted = usage.Totals(1, event.prompt_tokens, event.output_tokens)
-        self._count(work, counted)
+            attainment.count(self._state, request, now)
+        totals = usage.Totals(1, event.prompt_tokens, event.output_tokens)
+        self._count_usage(work, totals)
         out = [
-            answers.decision(work, "complete", held.server),
+            answers.decision(work, "complete", request.server),
             measures.since_received(work, reports.Metric.TOTAL, now),
         ]
-        out.extend(measures.gaps(work, event.gaps_ms))
-        out.extend(self._endings.end_claim(held, now, event.answer))
-        return out + self._decide(now)
+        out.extend(measures.between_tokens(work, event.gaps_ms))
+        out.extend(self._endings.end_claim(request, now, event.answer))
+        return out + self._run_policy(now)
 
-    def _count(self, work, counted):
-        self._state.usage.count(work.organisation, work.class_name, counted)
+    def _count_usage(self, work, totals):
+        self._state.usage.count(work.organisation, work.class_name, totals)
 
-    def _failed(self, event, now):
-        """An attempt broke off, and its engine cannot go on with it.
+    def _attempt_failed(self, event, now):
+        """Retry or refuse a request whose attempt failed after it began.
 
-        A repeatable request goes to another server, which starts from what
-        the caller has already; the engine that failed is told to stop, in
-        case that only the path to it did.
+        A repeatable request goes to another server, which continues from the
+        output that the caller already has.  The failed server is told to
+        cancel, in case only the connection to it failed.
         """
-        hedged = self._hedged(event)
+        hedged = self._find_hedged(event)
         if hedged:
             self._hedges.failed(hedged, event, now)
-            return self._decide(now)
-        held = self._current(event)
-        if held is None:
+            return self._run_policy(now)
+        request = self._find_current(event)
+        if request is None:
             return []
-        self._begun.broke_off(held)
-        self._ends.ended_under(held, event, now)
-        self._endings.release(held, now, failed=True)
-        # Not a request more: it is counted where its answer is whole.
-        self._count(held.work, usage.Totals(wasted_tokens=event.relayed))
-        if not held.work.repeatable:
+        self._start_counter.attempt_failed(request)
+        self._ends.ended_under(request, event, now)
+        self._endings.report_attempt_end(request, now, failed=True)
+        # Only wasted tokens: the request itself is counted once its answer is
+        # complete.
+        self._count_usage(
+            request.work, usage.Totals(wasted_tokens=event.relayed)
+        )
+        if not request.work.repeatable:
             nothing = sentinels.Nothing(sentinels.Reason.SERVER_FAILED)
-            return self._refuse(held, nothing, now)
-        out = self._endings.cancel(held, held.server)
-        held.move(life.Phase.QUEUED)
-        if self._hedges.goes_on(held):
-            return out + self._decide(now)
-        if held.work.routed:
-            return self._try_elsewhere(held, now, counts=True)
-        return out + self._try_again(held, now, begun=True)
+            return self._refuse(request, nothing, now)
+        out = self._endings.cancel(request, request.server)
+        request.transition_to(life.Phase.QUEUED)
+        if self._hedges.continue_with_hedge(request):
+            return out + self._run_policy(now)
+        if request.work.routed:
+            return self._retry_routed(request, now, reached_server=True)
+        return out + self._retry(request, now, begun=True)
 
     def _caller_gone(self, event, now):
-        """Stop what nobody waits for, where stopping does no harm."""
-        held = self.lives.get(event.request_id)
-        if held is None:
-            self._early.drop(event.request_id)
+        """Stop a request whose caller left, if stopping it is harmless."""
+        request = self.lives.get(event.request_id)
+        if request is None:
+            self._early_requests.drop(event.request_id)
             return []
-        if held.phase not in life.WAITING and not _may_stop(held.work):
-            # It may have begun, and half a report or half an order is
-            # worse than a whole one that its caller asks for again.
+        if request.phase not in life.WAITING and not _is_stoppable(
+            request.work
+        ):
+            # It may have begun, and half a report or half an order is worse
+            # than a complete one that the caller requests again.
             return []
-        return self._stop(held, "caller_gone", now)
+        return self._stop(request, "caller_gone", now)
 
     def _overdue(self, event, now):
-        held = self.lives.get(event.request_id)
-        if held is None or held.phase in life.WAITING:
+        request = self.lives.get(event.request_id)
+        if request is None or request.phase in life.WAITING:
             return []
-        if not held.work.repeatable and not held.work.routed:
+        if not request.work.repeatable and not request.work.routed:
             return []
-        return self._stop(held, "deadline", now)
+        return self._stop(request, "deadline", now)
 
-    def _loads_heard(self, source, message, now):
-        """Look again what can be placed: others' work may have ended."""
-        return self._decide(now) if self.lives else []
+    def _server_loads_received(self, source, message, now):
+        """Run the policy: requests of other instances may have finished."""
+        return self._run_policy(now) if self.lives else []
 
     def _cut_short(self, event, now):
-        """Tell a caller the truth, since this instance ends now.
+        """Cut off a caller with the true outcome: the instance shuts down.
 
-        Where a key is being claimed or another request followed, that one
-        may have run.
+        While a key is being claimed, another request with the same key may
+        have run, so the outcome is unknown.
         """
-        held = self.lives.get(event.request_id)
-        if held is None:
-            return self._cut_early(event.request_id)
-        begun = held.begun > 0 or held.phase is life.Phase.CLAIMING
+        request = self.lives.get(event.request_id)
+        if request is None:
+            return self._cut_short_early(event.request_id)
+        begun = request.begun > 0 or request.phase is life.Phase.CLAIMING
         refusal = answers.refusal(event.request_id, DRAINING, begun=begun)
-        out = self._stop(held, "cut_short", now)
+        out = self._stop(request, "cut_short", now)
         return [effects.CutOff(refusal)] + out
 
-    def _cut_early(self, request_id):
-        """Tell the caller of a request that waited for the state."""
-        if not self._early.drop(request_id):
+    def _cut_short_early(self, request_id):
+        """Cut off the caller of a request that waited for the state."""
+        if not self._early_requests.drop(request_id):
             return []
         return [effects.CutOff(answers.refusal(request_id, DRAINING))]
 
-    def _refuse(self, held, nothing, now):
-        """End a request without an answer; look what fits."""
-        return self._endings.refuse(held, nothing, now) + self._decide(now)
+    def _refuse(self, request, nothing, now):
+        """Refuse a request, then run the policy on the freed capacity."""
+        return self._endings.refuse(request, nothing, now) + self._run_policy(
+            now
+        )
 
-    def _stop(self, held, reason, now):
-        """Drop a request for which nobody waits any more; look what fits."""
-        return self._endings.stop(held, reason, now) + self._decide(now)
+    def _stop(self, request, reason, now):
+        """Stop a request, then run the policy on the freed capacity."""
+        return self._endings.stop(request, reason, now) + self._run_policy(now)
 
 
-def _may_stop(work):
-    """Tell whether work that nobody waits for any more may be stopped.
+def _is_stoppable(work):
+    """Tell whether work without a waiting caller may be stopped half-way.
 
-    What is generated only for its caller may; an order that is half done
-    may not.
+    Output generated only for the caller may be stopped; a non-repeatable
+    operation that is half done may not.
     """
     return work.repeatable or work.streamed
--- a/tests/cover/test_begun.py
+++ b/tests/cover/test_begun.py
@@ -1,4 +1,4 @@
-"""Each request is counted once, in the window in which it began."""
+"""Each request is counted once, in the usage window in which it began."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from dandeliontrail.components import life
 from dandeliontrail.decisions import work
 
-# A time of day at which a window begins.
+# A wall-clock time, in seconds, at which a window begins.
 START = 1_700_000_000.0
 WINDOW = 5.0
 FIRST = int(START // WINDOW)
@@ -23,7 +23,7 @@
     return state
 
 
-def request(dispatched, streamed=False, organisation="lab"):
+def make_request(dispatched, streamed=False, organisation="lab"):
     made = work.Work(
         "r", organisation, "read", "m", "app", 0, 0.0, 10.0, streamed=streamed
     )
@@ -35,38 +35,38 @@
 
 
 def test_a_stream_begins_with_its_first_event(duties):
-    # It waited at its engine across the end of a window.
-    counter = begun.Begun(duties)
-    counter.first_output(request(4.0, streamed=True), 5.5)
+    # The request queued at its engine across a window boundary.
+    counter = begun.StartCounter(duties)
+    counter.first_output(make_request(4.0, streamed=True), 5.5)
     assert counted(duties) == {FIRST + 1: {"lab": 1}}
 
 
 def test_a_plain_request_begins_when_it_is_sent_or_has_waited(duties):
-    counter = begun.Begun(duties)
-    counter.first_output(request(1.0), 1.02)
-    counter.first_output(request(4.99), 5.01)
+    counter = begun.StartCounter(duties)
+    counter.first_output(make_request(1.0), 1.02)
+    counter.first_output(make_request(4.99), 5.01)
     # The server was busy for a second before it took this one.
-    counter.first_output(request(4.5), 5.5)
+    counter.first_output(make_request(4.5), 5.5)
     assert counted(duties) == {FIRST: {"lab": 2}, FIRST + 1: {"lab": 1}}
 
 
 def test_a_request_that_is_tried_again_counts_once(duties):
-    # Its first server crashed at work; the second answers.
-    counter = begun.Begun(duties)
-    held = request(1.0)
-    counter.broke_off(held)
-    counter.first_output(held, 1.5)
+    # The first server crashes while running the request; the second answers.
+    counter = begun.StartCounter(duties)
+    request = make_request(1.0)
+    counter.attempt_failed(request)
+    counter.first_output(request, 1.5)
     assert counted(duties) == {FIRST: {"lab": 1}}
-    assert held.first_output == 0.0
+    assert request.first_output == 0.0
 
 
-def test_a_stream_that_broke_off_before_its_first_event_did_not_begin(duties):
-    counter = begun.Begun(duties)
-    counter.broke_off(request(1.0, streamed=True))
+def test_a_stream_that_fails_before_its_first_event_did_not_begin(duties):
+    counter = begun.StartCounter(duties)
+    counter.attempt_failed(make_request(1.0, streamed=True))
     assert counted(duties) == {}
 
 
-def test_requests_of_no_organisation_are_nobodys(duties):
-    counter = begun.Begun(duties)
-    counter.first_output(request(1.0, organisation=""), 1.02)
+def test_requests_without_organisation_are_not_counted(duties):
+    counter = begun.StartCounter(duties)
+    counter.first_output(make_request(1.0, organisation=""), 1.02)
     assert counted(duties) == {}
--- a/tests/cover/test_hedge_life.py
+++ b/tests/cover/test_hedge_life.py
@@ -1,4 +1,4 @@
-"""What else may happen to a request while two servers have it."""
+"""Events that reach a request while it has a hedged attempt."""
 
 import types
 
@@ -11,8 +11,8 @@
 from tests.cover import test_hedge_machine
 
 
-class Play:
-    """One request, at a server that is silent and at another one."""
+class SilentServerScenario:
+    """One request with a silent first server and a hedge at a second."""
 
     def __init__(self, path, streaming):
         made = test_hedge_machine.HedgedLife()
@@ -34,14 +34,14 @@
         return self.reducer.lives["q"]
 
     def apply(self, event):
-        """Return what the request's greenlet is told."""
-        return self.told(self.reducer.apply(event, self.now))
+        """Return the effects that are addressed to the request's greenlet."""
+        return self.request_effects(self.reducer.apply(event, self.now))
 
     def tick(self):
         self.now += 0.1
-        return self.told(self.reducer.tick(self.now))
+        return self.request_effects(self.reducer.tick(self.now))
 
-    def told(self, out):
+    def request_effects(self, out):
         kinds = (
             effects.Dispatch,
             effects.Withdraw,
@@ -54,8 +54,8 @@
         loads = self.reducer.policy.own_loads()
         return {load.server: load.running for load in loads}
 
-    def hold_back(self):
-        """Have three servers end under the request elsewhere."""
+    def block_request(self):
+        """Block the request: three other servers crash while running it."""
         (ends,) = [
             item
             for item in self.reducer.components
@@ -69,26 +69,26 @@
             ends.ended_under(attempt, failed, self.now)
 
 
-def test_a_hedge_is_withdrawn_when_its_request_is_held_back():
-    play = Play("/chat/", streaming=True)
-    play.hold_back()
-    (told,) = play.tick()
-    assert isinstance(told, effects.Withdraw)
-    assert told.attempt == play.second.attempt
-    assert play.running() == {play.first.backend_server: 1}
-    play.apply(events.AttemptSilent("q", play.first.attempt))
-    assert play.life.hedge is None and not play.life.seeking
+def test_a_hedge_is_withdrawn_when_its_request_is_blocked():
+    scenario = SilentServerScenario("/chat/", streaming=True)
+    scenario.block_request()
+    (effect,) = scenario.tick()
+    assert isinstance(effect, effects.Withdraw)
+    assert effect.attempt == scenario.second.attempt
+    assert scenario.running() == {scenario.first.backend_server: 1}
+    scenario.apply(events.AttemptSilent("q", scenario.first.attempt))
+    assert scenario.life.hedge is None and not scenario.life.seeking_hedge
 
 
-def test_both_attempts_are_taken_back_before_anything_came():
-    play = Play("/chat/", streaming=False)
-    play.hold_back()
-    told = play.tick()
+def test_both_attempts_are_cut_off_before_any_output():
+    scenario = SilentServerScenario("/chat/", streaming=False)
+    scenario.block_request()
+    out = scenario.tick()
     (refusal,) = [
-        item.refusal for item in told if isinstance(item, effects.CutOff)
+        item.refusal for item in out if isinstance(item, effects.CutOff)
     ]
     assert refusal.outcome == "unknown"
-    assert play.running() == {} and not play.reducer.lives
+    assert scenario.running() == {} and not scenario.reducer.lives
 
 
 @pytest.mark.parametrize(
@@ -96,23 +96,25 @@
 )
 @pytest.mark.parametrize("path", ["/chat/", "/read/"])
 def test_both_attempts_end_with_their_request(path, event):
-    play = Play(path, streaming=False)
-    play.apply(event("q"))
-    assert play.running() == {} and not play.reducer.lives
+    scenario = SilentServerScenario(path, streaming=False)
+    scenario.apply(event("q"))
+    assert scenario.running() == {} and not scenario.reducer.lives
 
 
 def test_no_third_server_is_asked_after_the_first_spoke_again():
-    play = Play("/chat/", streaming=True)
-    assert not play.apply(events.AttemptSpoke("q", play.first.attempt))
-    assert play.running() == {play.first.backend_server: 1}
-    assert not play.apply(events.AttemptSilent("q", play.first.attempt))
-    assert not play.tick()
+    scenario = SilentServerScenario("/chat/", streaming=True)
+    assert not scenario.apply(events.AttemptSpoke("q", scenario.first.attempt))
+    assert scenario.running() == {scenario.first.backend_server: 1}
+    assert not scenario.apply(
+        events.AttemptSilent("q", scenario.first.attempt)
+    )
+    assert not scenario.tick()
 
 
-def test_what_the_hedge_says_later_is_about_nothing():
-    play = Play("/chat/", streaming=True)
-    play.apply(events.AttemptSpoke("q", play.first.attempt))
-    late = play.second.attempt
+def test_late_events_of_a_dropped_hedge_are_ignored():
+    scenario = SilentServerScenario("/chat/", streaming=True)
+    scenario.apply(events.AttemptSpoke("q", scenario.first.attempt))
+    late = scenario.second.attempt
     for event in (
         events.AttemptSpoke("q", late),
         events.FirstOutput("q", late),
@@ -120,16 +122,16 @@
         events.AttemptFailed("q", late, 0, "late"),
         events.NotBegun("q", late, True),
     ):
-        assert not play.apply(event)
-    assert play.life.attempt == play.first.attempt
-    assert play.running() == {play.first.backend_server: 1}
+        assert not scenario.apply(event)
+    assert scenario.life.attempt == scenario.first.attempt
+    assert scenario.running() == {scenario.first.backend_server: 1}
 
 
 def test_a_crash_of_the_hedges_server_counts_against_the_request():
-    play = Play("/chat/", streaming=True)
-    play.apply(
-        events.AttemptFailed("q", play.second.attempt, 0, "", closed=True)
+    scenario = SilentServerScenario("/chat/", streaming=True)
+    scenario.apply(
+        events.AttemptFailed("q", scenario.second.attempt, 0, "", closed=True)
     )
-    table = play.reducer.state.ends
+    table = scenario.reducer.state.ends
     (suspect,) = table.suspects.values()
     assert len(suspect.ends) == 1
--- a/tests/cover/test_hedge_machine.py
+++ b/tests/cover/test_hedge_machine.py
@@ -1,4 +1,4 @@
-"""Lives of requests whose servers fall silent, under any order of events."""
+"""Requests whose servers go silent, under any order of events."""
 
 import random
 
@@ -18,7 +18,7 @@
 NUMBERS = st.integers(0, 1000)
 SERVERS = ("e1", "e2", "e3", "e4")
 LEASE = 3.0
-MOST = {"/once/": 1, "/chat/": 2, "/read/": 3}
+MAX_ATTEMPTS = {"/once/": 1, "/chat/": 2, "/read/": 3}
 ROUTES = [
     revisions.Route(
         path.strip("/"),
@@ -29,22 +29,23 @@
         repeatable=path == "/read/",
         resumable=path == "/chat/",
         streamed=path != "/read/",
-        max_attempts=most,
+        max_attempts=max_attempts,
     )
-    for path, most in MOST.items()
+    for path, max_attempts in MAX_ATTEMPTS.items()
 ]
 
 
 class Seen:
-    """What a request's caller and its servers know of it.
+    """What the caller and the servers have observed of a request.
 
-    ``open`` has the servers of the attempts that are read, ``began`` which
-    of them may have begun, ``ran`` counts those that did and were not taken
-    back.  ``first`` is the attempt whose answer the caller gets.
+    ``open`` maps the open attempts to their servers, ``began`` has those that
+    may have begun, and ``ran`` counts all attempts that may have begun, except
+    those whose server reported otherwise.  ``first`` is the attempt whose
+    answer the caller gets.
     """
 
     def __init__(self, path):
-        self.most = MOST[path]
+        self.max_attempts = MAX_ATTEMPTS[path]
         self.first = 0
         self.open = {}
         self.began = set()
@@ -53,7 +54,7 @@
         self.silent = False
         self.outcome = ""
 
-    def let_go(self, attempt):
+    def close(self, attempt):
         del self.open[attempt]
         self.began.discard(attempt)
         self.first = next(iter(self.open), 0)
@@ -79,18 +80,20 @@
     return attempt in seen.began and not seen.silent
 
 
-def rule_of(holds, **arguments):
-    """Return the decorator of a rule about an attempt for which it holds."""
+def rule_of(predicate, **arguments):
+    """Return a decorator for rules on attempts that satisfy ``predicate``."""
 
     def decorate(function):
         decorated = stateful.rule(number=NUMBERS, **arguments)(function)
-        return stateful.precondition(lambda self: self.among(holds))(decorated)
+        return stateful.precondition(lambda self: self.among(predicate))(
+            decorated
+        )
 
     return decorate
 
 
 class HedgedLife(stateful.RuleBasedStateMachine):
-    """One instance and four servers, the attempts in the rules' hands."""
+    """One instance and four servers, whose attempts the rules control."""
 
     def __init__(self):
         super().__init__()
@@ -127,14 +130,14 @@
         self.apply(events.Announced(made))
 
     def apply(self, event):
-        self.carry(self.reducer.apply(event, self.now))
+        self.process(self.reducer.apply(event, self.now))
 
-    def carry(self, out):
+    def process(self, out):
         for effect in out:
             if isinstance(effect, effects.Dispatch):
                 self.dispatched(effect)
             elif isinstance(effect, effects.Withdraw):
-                self.seen[effect.request_id].let_go(effect.attempt)
+                self.seen[effect.request_id].close(effect.attempt)
             elif isinstance(effect, effects.Refuse):
                 self.refused(effect)
             elif isinstance(effect, effects.CutOff):
@@ -146,32 +149,34 @@
         assert not seen.outcome
         assert effect.backend_server not in seen.open.values()
         assert not seen.open or seen.silent
-        assert seen.ran < seen.most
+        assert seen.ran < seen.max_attempts
         seen.open[effect.attempt] = effect.backend_server
         assert len(seen.open) <= 2
         seen.first = seen.first or effect.attempt
 
     def refused(self, effect):
         seen = self.seen[effect.request_id]
-        # No answer ends while a server may still give it.
+        # No request is refused while a server may still answer it.
         assert not seen.open and not seen.outcome
         seen.outcome = effect.outcome
         assert (effect.outcome == "not-run") == (not seen.ran)
 
-    def among(self, holds):
-        """Return the requests and attempts for which it holds."""
+    def among(self, predicate):
+        """Return the requests and attempts that satisfy ``predicate``."""
         return [
             (request_id, attempt)
             for request_id, seen in self.seen.items()
             for attempt in seen.open
-            if holds(seen, attempt)
+            if predicate(seen, attempt)
         ]
 
-    def choose(self, number, holds):
-        found = self.among(holds)
+    def choose(self, number, predicate):
+        found = self.among(predicate)
         return found[number % len(found)]
 
-    @stateful.rule(path=st.sampled_from(sorted(MOST)), alike=st.booleans())
+    @stateful.rule(
+        path=st.sampled_from(sorted(MAX_ATTEMPTS)), alike=st.booleans()
+    )
     def receive(self, path, alike):
         request_id = f"q{len(self.seen)}"
         self.seen[request_id] = Seen(path)
@@ -188,7 +193,7 @@
         seen = self.seen[request_id]
         seen.began.add(attempt)
         seen.ran += 1
-        assert seen.ran <= seen.most
+        assert seen.ran <= seen.max_attempts
         self.apply(events.AttemptBegan(request_id, attempt))
 
     @rule_of(unsent)
@@ -202,7 +207,7 @@
     def not_begun(self, request_id, attempt, said):
         seen = self.seen[request_id]
         seen.ran -= attempt in seen.began
-        seen.let_go(attempt)
+        seen.close(attempt)
         seen.silent = seen.silent and bool(seen.open)
         self.apply(events.NotBegun(request_id, attempt, said))
 
@@ -219,7 +224,7 @@
         if seen.silent:
             seen.silent = False
             for other in [item for item in seen.open if item != attempt]:
-                seen.let_go(other)
+                seen.close(other)
             self.apply(events.AttemptSpoke(request_id, attempt))
         if attempt not in seen.spoke:
             seen.spoke.add(attempt)
@@ -229,7 +234,7 @@
     def breaks_off(self, number, closed):
         request_id, attempt = self.choose(number, begun)
         seen = self.seen[request_id]
-        seen.let_go(attempt)
+        seen.close(attempt)
         seen.silent = seen.silent and bool(seen.open)
         self.apply(
             events.AttemptFailed(request_id, attempt, 0, "", closed=closed)
@@ -270,7 +275,7 @@
         if announcing:
             for name in SERVERS:
                 self.announce(name)
-        self.carry(self.reducer.tick(self.now))
+        self.process(self.reducer.tick(self.now))
 
     @stateful.invariant()
     def every_attempt_is_counted_once(self):
@@ -286,7 +291,7 @@
 
 
 class TestHedgedLife(HedgedLife.TestCase):
-    """No silence ends an answer, and no attempt is lost from the counts."""
+    """Silence alone ends no answer, and every open attempt is counted."""
 
     settings = hypothesis.settings(
         max_examples=100, stateful_step_count=50, deadline=None
--- a/tests/cover/test_request_life.py
+++ b/tests/cover/test_request_life.py
@@ -1,4 +1,4 @@
-"""The outcome that a request is given, over the pure reducer."""
+"""Outcomes of requests, tested on the pure reducer."""
 
 import hashlib
 import random
@@ -64,8 +64,8 @@
 
 
 def test_refused_connection_is_tried_elsewhere_and_then_not_run():
-    # A caller sees 503 "not-run" although engines are announced.  Both
-    # engines refuse the connection, so no byte was sent to either.
+    # Both engines refuse the connection, so no byte was sent to either: the
+    # caller must get "not-run" although engines are announced.
     reducer = make_reducer(repeatable=False)
     (first,) = only(receive(reducer), effects.Dispatch)
     out = reducer.apply(events.NotBegun("r1", 1, False), 0.2)
@@ -77,8 +77,8 @@
 
 
 def test_does_not_run_a_non_repeatable_request_twice():
-    # Two furan summaries on one report: the engine broke off after it had
-    # begun, and the router sent the request to another engine.
+    # Guards against a report that contains its summary twice: an engine
+    # failed after it had begun, and the request was sent to a second engine.
     reducer = make_reducer(repeatable=False)
     receive(reducer)
     reducer.apply(events.AttemptBegan("r1", 1), 0.2)
@@ -88,8 +88,9 @@
     assert refusal.outcome == "unknown"
 
 
-def test_can_repeat_a_repeatable_request_that_broke_off():
-    # The engine crashed before the first token; the caller notices nothing.
+def test_repeatable_request_is_retried_after_a_failure():
+    # The engine crashes before the first token, which the caller must not
+    # notice.
     reducer = make_reducer()
     receive(reducer)
     reducer.apply(events.AttemptBegan("r1", 1), 0.2)
@@ -111,8 +112,8 @@
 
 
 def test_late_answer_of_an_abandoned_attempt_is_dropped():
-    # An answer arrives after its request went to another engine: it must
-    # not be taken for the second engine's answer.
+    # The first engine answers after the request was retried on another: this
+    # must not be mistaken for the second engine's answer.
     reducer = make_reducer()
     receive(reducer)
     reducer.apply(events.AttemptBegan("r1", 1), 0.2)
@@ -120,26 +121,26 @@
     assert reducer.apply(events.AnswerFinished("r1", 1), 0.4) == []
 
 
-def test_not_run_cannot_be_said_of_work_that_may_have_begun():
+def test_not_run_cannot_be_reported_once_work_may_have_begun():
     item = work.Work("r1", "lab", "lookup", "small", "", 0, 0.0, 1.0)
-    held = life.Life(item)
-    held.move(life.Phase.QUEUED)
-    held.move(life.Phase.DISPATCHED)
-    held.begin()
+    request = life.Life(item)
+    request.transition_to(life.Phase.QUEUED)
+    request.transition_to(life.Phase.DISPATCHED)
+    request.mark_begun()
     with pytest.raises(dandeliontrail.InvariantBroken):
-        held.move(life.Phase.NOT_RUN)
+        request.transition_to(life.Phase.NOT_RUN)
 
 
 class StalePolicy(baselines.PriorityLeastOutstanding):
-    """Goes on giving work to a server that it once picked."""
+    """Always picks the same server, even after it has left."""
 
     def _pick(self, item, now, directory):
         return "e1"
 
 
-def test_a_server_that_left_gets_nothing_whatever_the_policy_says():
-    # A server says that it leaves; a policy that kept its name in a list
-    # still picks it.  The request must fail loudly, not reach the server.
+def test_a_leaving_server_gets_no_work_even_if_the_policy_picks_it():
+    # A server announces that it leaves, but a policy still picks it from a
+    # stale list.  The request must raise an error, not reach the server.
     reducer = make_reducer(policy=StalePolicy())
     gone = announcements.Announcement(
         "e1", 1, 2, "model_engine", "http://x", leaving=True
--- a/tests/cover/test_request_life_machine.py
+++ b/tests/cover/test_request_life_machine.py
@@ -1,4 +1,4 @@
-"""Lives of requests under any order of events, over the pure reducer."""
+"""Request life cycles under any order of events, on the pure reducer."""
 
 import hashlib
 import random
@@ -45,19 +45,19 @@
 
 
 class Seen:
-    """What a request's caller and its engines know of it."""
+    """What the caller and the engines have observed of a request."""
 
     def __init__(self, class_name):
         self.repeatable = class_name == "lookup"
         self.attempt = 0
         self.server = ""
-        # Attempts that began and were not taken back by the server's word.
+        # Attempts that began, except those whose server reported otherwise.
         self.begun = set()
         self.outcome = ""
 
 
 class RequestLife(stateful.RuleBasedStateMachine):
-    """One instance, three engines, and callers who come and go."""
+    """One instance, three engines, and callers that connect and leave."""
 
     def __init__(self):
         super().__init__()
@@ -91,9 +91,9 @@
             self.leaving.pop(name, None)
 
     def apply(self, event):
-        self.carry(self.reducer.apply(event, self.now))
+        self.process(self.reducer.apply(event, self.now))
 
-    def carry(self, out):
+    def process(self, out):
         for effect in out:
             if isinstance(effect, effects.Dispatch):
                 self.dispatched(effect)
@@ -138,9 +138,9 @@
         (component,) = [
             item for item in self.reducer.components if hasattr(item, "lives")
         ]
-        held = component.lives.get(request_id)
+        request = component.lives.get(request_id)
         names = {"dispatched": 0, "may_have_begun": 1, "streaming": 2}
-        return names.get(held.phase.value) if held else None
+        return names.get(request.phase.value) if request else None
 
     @stateful.precondition(lambda self: self.among(0))
     @stateful.rule(number=NUMBERS)
@@ -216,7 +216,7 @@
         if announcing:
             for name in ("e1", "e2", "e3"):
                 self.announce(name, name in self.leaving)
-        self.carry(self.reducer.tick(self.now))
+        self.process(self.reducer.tick(self.now))
 
     @stateful.rule(
         name=st.sampled_from(["e1", "e2", "e3"]), leaving=st.booleans()
@@ -226,7 +226,7 @@
 
 
 class TestRequestLife(RequestLife.TestCase):
-    """Every outcome is true, and what must not run twice does not."""
+    """Outcomes are true, and non-repeatable requests run at most once."""
 
     settings = hypothesis.settings(
         max_examples=100, stateful_step_count=40, deadline=None
