--- a/packages/dandeliontrail/src/dandeliontrail/components/claim_rounds.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/claim_rounds.py
@@ -1,4 +1,4 @@
-"""What the claims of requests and the requests tell each other."""
+"""The interface between the claims component and the request component."""
 
 import abc
 
@@ -6,27 +6,31 @@
 
 
 class Listener(abc.ABC):
-    """Learns what came of a request's claim; each returns effects."""
+    """Receives the results of claims; each method returns effects."""
 
     @abc.abstractmethod
     def claim_granted(self, request_id, now):
-        """The request, and no other, may run its key."""
+        """The claim was granted: only this request may run its key."""
 
     @abc.abstractmethod
     def claim_unneeded(self, request_id, now):
-        """No claim can be had, and the request may be repeated anyway."""
+        """No claim can be obtained, but the request is repeatable."""
 
     @abc.abstractmethod
     def claim_answered(self, request_id, answer, now):
-        """Another request with the key has the whole answer."""
+        """Another request with the key completed with ``answer``."""
 
     @abc.abstractmethod
     def claim_refused(self, request_id, nothing, ran, now):
-        """There is no answer; ``ran`` where the key may have been run."""
+        """No answer is available; ``ran`` tells if the key may have run."""
 
 
 class Wanted(msgspec.Struct):
-    """A request that asks for its key; ``deadline`` as its work has it."""
+    """A request that wants to claim its idempotency key.
+
+    ``digest`` identifies the request body; ``deadline`` is that of the
+    request's work, in seconds on this instance's clock.
+    """
 
     request_id: str
     key: str
@@ -35,11 +39,13 @@
     deadline: float
 
 
-class Round(msgspec.Struct):
-    """How far a request is in getting its key.
+class ClaimRound(msgspec.Struct):
+    """The progress of a request towards its key.
 
-    ``claim`` is its own while it counts votes, and that of another request
-    (at ``holder``) while it follows that one.
+    While votes are counted, ``claim`` is the request's own claim.  While
+    ``following``, it is the claim of another request, at the instance
+    ``holder``.  ``until`` is when the votes must be in, ``next_send`` when the
+    next message is due and ``heard`` when the holder last replied.
     """
 
     wanted: Wanted
--- a/packages/dandeliontrail/src/dandeliontrail/components/claim_voting.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/claim_voting.py
@@ -1,18 +1,19 @@
-"""The component that grants claims on idempotency keys, as one voter."""
+"""Component that votes on claims of idempotency keys."""
 
 from .. import effects
 from .. import interfaces
 from ..coordination import claim_votes
 from ..coordination import claims
 
-ASK_AGAIN_SECONDS = 0.3
+# How often the other voters are asked for their claims during recovery.
+RECOVERY_RESEND_SECONDS = 0.3
 
 
 class ClaimVoting(interfaces.Component):
-    """This instance as a voter, where it is one.
+    """The voter of this instance, if it is one.
 
-    ``voters`` names them all, the same on every instance; without any, an
-    instance is the only voter for its own requests.
+    ``voters`` names all voters and is the same on every instance.  If it is
+    empty, the instance is the only voter for its own requests.
     """
 
     def __init__(self, state, voters=()):
@@ -23,12 +24,12 @@
         self._next_recovery = 0.0
 
     def handlers(self):
-        """Return the handlers of the messages to a voter."""
+        """Return the handlers of the messages sent to a voter."""
         return {
-            claims.ClaimAsk: self._asked,
-            claims.ClaimRelease: self._released,
-            claims.RecoveryAsk: self._recovery_asked,
-            claims.RecoveryTold: self._recovery_told,
+            claims.ClaimAsk: self._claim_requested,
+            claims.ClaimRelease: self._claim_released,
+            claims.RecoveryAsk: self._recovery_requested,
+            claims.RecoveryTold: self._recovery_received,
         }
 
     def tick(self, now):
@@ -36,7 +37,7 @@
         table = self._table_at(now)
         if table is None or now < self._next_recovery:
             return []
-        self._next_recovery = now + ASK_AGAIN_SECONDS
+        self._next_recovery = now + RECOVERY_RESEND_SECONDS
         out = []
         for name in table.to_ask(now):
             address = self._state.members.address_of(name)
@@ -50,52 +51,54 @@
         return out
 
     def ready(self, now):
-        """Tell whether this instance is a voter and grants claims."""
+        """Tell whether this instance is a voter that has recovered."""
         table = self._table_at(now)
         return table is not None and table.ready(now)
 
     def vote(self, source, ask, now):
-        """Return the vote on a claim; none where this is no voter."""
+        """Return the vote on a claim; it is empty if this is no voter."""
         table = self._table_at(now)
         if table is None:
             return claims.ClaimVote(ask.key, ask.claim)
         return table.vote(ask, source, now)
 
     def release(self, message, now):
-        """Forget a claim that was given up."""
+        """Release the vote for an abandoned claim."""
         table = self._table_at(now)
         if table is not None:
             table.release(message)
 
     def _table_at(self, now):
-        """Return this voter's memory, ``None`` where this is no voter.
+        """Return the table of this voter, or ``None`` if it is no voter.
 
-        It is made on the first event, when what a disk held is loaded.
+        It is created on first use, after the data on disk was loaded.
         """
         name = self._state.identity.instance
         if self._table is None and name in self.voters:
-            blank = not self._state.log.resumed
-            self._table = claim_votes.VoterTable(name, self.voters, now, blank)
+            without_history = not self._state.log.resumed
+            self._table = claim_votes.VoterTable(
+                name, self.voters, now, without_history
+            )
         return self._table
 
-    def _asked(self, source, message, now):
+    def _claim_requested(self, source, message, now):
         vote = self.vote(source, message, now)
         return [effects.SendPeer(source.address, vote)]
 
-    def _released(self, source, message, now):
+    def _claim_released(self, source, message, now):
         self.release(message, now)
         return []
 
-    def _recovery_asked(self, source, message, now):
+    def _recovery_requested(self, source, message, now):
         table = self._table_at(now)
         if table is None or message.voters != self.digest:
             return []
-        told = table.tell(message, now)
-        return [effects.SendPeer(source.address, told)]
+        reply = table.tell(message, now)
+        return [effects.SendPeer(source.address, reply)]
 
-    def _recovery_told(self, source, message, now):
+    def _recovery_received(self, source, message, now):
         table = self._table_at(now)
-        own = self._state.identity.incarnation
-        if table is not None and message.incarnation == own:
+        incarnation = self._state.identity.incarnation
+        if table is not None and message.incarnation == incarnation:
             table.learn(source.instance, message, now)
         return []
