--- a/packages/dandeliontrail/src/dandeliontrail/__init__.py
+++ b/packages/dandeliontrail/src/dandeliontrail/__init__.py
@@ -1,7 +1,7 @@
 """Coordination and decision parts of a router for language-model traffic.
 
-The public face: build a reducer with :func:`new_reducer`, hand it events
-with the present time, and carry out the effects that it returns.
+The public API: build a reducer with :func:`new_reducer`, pass it events with
+the current time, and carry out the effects that it returns.
 """
 
 from .components.state import Identity
--- a/packages/dandeliontrail/src/dandeliontrail/components/__init__.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/__init__.py
@@ -1,1 +1,1 @@
-"""The parts of the reducer, each with the events that it answers to."""
+"""The components of the reducer, each handling its own event types."""
--- a/packages/dandeliontrail/src/dandeliontrail/components/state.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/state.py
@@ -1,6 +1,6 @@
-"""The state that several components read, each part with one owner.
+"""State shared by several components, where each part has one owner.
 
-Whoever is named as the owner is the only component that changes the part.
+Only the owning component changes its part; the others read it.
 """
 
 import random
@@ -24,10 +24,11 @@
 
 
 class Identity(msgspec.Struct):
-    """Who this instance is; ``address`` is that of its peer listener.
+    """The identity of this instance in the membership.
 
-    ``refutations`` grows whenever this instance proves wrong another that
-    took it for failed, ``incarnation`` with each start.
+    ``address`` is that of its peer listener.  ``incarnation`` increases with
+    each start, ``refutations`` each time this instance refutes a report that
+    it has failed.
     """
 
     instance: str
@@ -41,13 +42,17 @@
 class State(msgspec.Struct):
     """Shared state of one instance.
 
-    Owners: ``store`` and ``log`` the configuration component,
-    ``registry`` the server component, ``members`` the membership
-    component, ``routing`` the revisions component, ``loads`` the server loads
-    component, ``ends`` the server ends component, ``usage`` the usage
-    component, into which the request
-    component counts, ``orders`` the orders component, ``duties`` the
-    duties component.
+    Owning components:
+
+    - ``store`` and ``log``: configuration
+    - ``registry``: backend servers
+    - ``members``: membership
+    - ``routing``: revisions
+    - ``loads``: server loads
+    - ``ends``: server ends
+    - ``usage``: usage; the request component adds its counts
+    - ``orders``: orders
+    - ``duties``: duties
     """
 
     identity: Identity
@@ -77,14 +82,15 @@
     longest_lease=servers.LONGEST_LEASE,
     duty_options=duties_state.DutyOptions(),
 ):
-    """Return the state of an instance that knows only its seeds.
+    """Return the state of an instance that knows only its seed peers.
 
-    ``keeper`` is what its disk has (``quorum_log_records.Keeper``), where it
-    has one; ``bootstrap`` names the first keepers.
+    ``keeper`` is the data loaded from its disk
+    (``quorum_log_records.Keeper``), if it has one; ``bootstrap`` names the
+    first keepers.
     """
     objects = store.ResourceStore()
     registry = servers.ServerRegistry(longest_lease)
-    own = usage.Publisher(identity.instance, identity.incarnation)
+    publisher = usage.Publisher(identity.instance, identity.incarnation)
     members = membership.Membership(identity, seeds)
     log = quorum_log.QuorumLog(
         identity.instance,
@@ -100,7 +106,7 @@
         objects,
         registry,
         members,
-        ledger.UsageLedger(own),
+        ledger.UsageLedger(publisher),
         directory.Directory(registry, objects),
         log,
         orders_state.new_orders_state(identity),
--- a/packages/dandeliontrail/src/dandeliontrail/errors.py
+++ b/packages/dandeliontrail/src/dandeliontrail/errors.py
@@ -1,14 +1,13 @@
-"""Every error that the library raises to those who embed it.
+"""All errors that the library raises to its embedders.
 
-Inside the library a decision that goes against a request is a value, not an
-exception (see :mod:`dandeliontrail.sentinels`).  The kinds below are for the
-outside: each says what went wrong and, in ``remedy``, what the reader of the
-message can do about it.
+Inside the library, a decision against a request is a value and not an
+exception (see :mod:`dandeliontrail.sentinels`).  Each error below states what
+went wrong and, in ``remedy``, what the reader can do about it.
 """
 
 
 class DandeliontrailError(Exception):
-    """The root of all errors here; ``remedy`` names the way out."""
+    """Base class of all errors; ``remedy`` tells how to resolve it."""
 
     def __init__(self, message, remedy):
         super().__init__(f"{message} Remedy: {remedy}")
@@ -17,9 +16,9 @@
 
 
 class InvariantBroken(DandeliontrailError):
-    """The program reached a state that its authors ruled out.
+    """The program reached a state that should be impossible.
 
-    This is always a fault of the program, never of its input.
+    This is always a bug in the program, never a fault of its input.
     """
 
 
@@ -28,7 +27,7 @@
 
 
 class ResourceInvalid(DandeliontrailError):
-    """An operator's object failed a check; ``field`` names the place."""
+    """An operator's object is invalid; ``field`` is the path of the field."""
 
     def __init__(self, field, message, remedy):
         super().__init__(f"{field}: {message}", remedy)
@@ -36,9 +35,9 @@
 
 
 class VersionConflict(DandeliontrailError):
-    """A conditional write named a version that is no longer present.
+    """A conditional write expected a version that is not the current one.
 
-    ``present`` is the version that the object has now.
+    ``present`` is the current version of the object.
     """
 
     def __init__(self, present):
@@ -51,8 +50,8 @@
 
 
 class StorageError(DandeliontrailError):
-    """The data folder cannot be used as it stands."""
+    """The data folder cannot be used in its current state."""
 
 
 class StorageRefused(StorageError):
-    """The disk took no write; all that was promised before still holds."""
+    """The disk refused a write; all earlier synced writes still hold."""
--- a/packages/dandeliontrail/src/dandeliontrail/interfaces.py
+++ b/packages/dandeliontrail/src/dandeliontrail/interfaces.py
@@ -1,7 +1,7 @@
-"""The seams between the pure library and whatever carries out its effects.
+"""Interfaces between the pure library and the embedder that does its I/O.
 
-An embedder supplies these.  ``dandeliond`` has the gevent kind; tests have
-small fakes.
+The embedder implements these: ``dandeliond`` with gevent, tests with small
+fakes.
 """
 
 import abc
@@ -12,7 +12,7 @@
 
     @abc.abstractmethod
     def now(self):
-        """Return the present time in seconds; it never falls."""
+        """Return the current time in seconds; it never decreases."""
 
 
 class Storage(abc.ABC):
@@ -28,7 +28,7 @@
 
     @abc.abstractmethod
     def replace(self, checkpoint, records):
-        """Put ``checkpoint`` and ``records`` in place of all before."""
+        """Replace all stored data by ``checkpoint`` and ``records``."""
 
     @abc.abstractmethod
     def close(self):
@@ -36,7 +36,7 @@
 
 
 class PeerLink(abc.ABC):
-    """Delivers messages between instances; it may lose or repeat them."""
+    """Delivers messages between instances; may lose or duplicate them."""
 
     @abc.abstractmethod
     def send(self, address, message):
@@ -50,8 +50,8 @@
     def open(self, dispatch, exchange):
         """Send the request of ``dispatch`` and return a response stream.
 
-        Raises the client's ``NotBegun`` only where no byte was sent or the
-        server said itself that it did not begin.
+        Raises the client's ``NotBegun`` only if no byte was sent, or if the
+        server itself reported that it did not begin.
         """
 
     @abc.abstractmethod
@@ -60,7 +60,7 @@
 
 
 class Component(abc.ABC):
-    """One part of the reducer: it owns some state and some event types."""
+    """A part of the reducer that owns some state and handles some events."""
 
     @abc.abstractmethod
     def handlers(self):
@@ -70,5 +70,5 @@
         """
 
     def tick(self, now):
-        """Return the effects that are due at ``now``, about ten a second."""
+        """Return the effects due at ``now``; called about every 0.1 s."""
         return []
--- a/packages/dandeliontrail/src/dandeliontrail/invariants.py
+++ b/packages/dandeliontrail/src/dandeliontrail/invariants.py
@@ -1,8 +1,8 @@
-"""Assertions that stay on in production.
+"""Assertions that stay enabled in production.
 
-A broken invariant is counted under its name before it is raised, so that an
-instance which survives one (each request fails alone) shows it in its
-metrics.
+A violation is counted under the invariant's name before the error is raised.
+It fails only the request at hand, so the metrics of the surviving instance
+still show it.
 """
 
 import collections
--- a/packages/dandeliontrail/src/dandeliontrail/reducer.py
+++ b/packages/dandeliontrail/src/dandeliontrail/reducer.py
@@ -1,4 +1,6 @@
-"""One reducer over all events of an instance, with effects as data.
+"""The reducer: a pure state machine over all events of an instance.
+
+It does no I/O; it returns effects as data, for the embedder to carry out.
 
 >>> import random
 >>> from dandeliontrail import new_reducer, Identity
@@ -33,7 +35,7 @@
 
 
 class Reducer:
-    """Hands each event to the component that answers to its type."""
+    """Passes each event to the components that handle its type."""
 
     __slots__ = (
         "state",
@@ -56,14 +58,14 @@
 
     def _register(self, component):
         for kind, handler in component.handlers().items():
-            # A peer's message reaches its handler with the sender; all
-            # other events stand for themselves.
+            # Handlers of peer messages also receive the sender, so they are
+            # kept apart from the handlers of events.
             is_event = kind.__module__.startswith(events.__name__)
             table = self._handlers if is_event else self._messages
             table.setdefault(kind, []).append(handler)
 
     def apply(self, event, now):
-        """Return the effects of ``event``, which happens at ``now``."""
+        """Return the effects of ``event``, which happened at ``now``."""
         if isinstance(event, events.PeerMessageReceived):
             return self._apply_message(event, now)
         out = []
@@ -79,7 +81,7 @@
         return out
 
     def waiting(self):
-        """Return how many requests of each class wait in queues."""
+        """Return the number of queued requests of each class."""
         return self.policy.waiting()
 
     def tick(self, now):
@@ -104,20 +106,21 @@
     duty_options=duties_state.DutyOptions(),
     new_policy=None,
 ):
-    """Return the reducer of an instance, put together from its parts.
+    """Assemble and return the reducer of an instance.
 
-    ``rng`` is a ``random.Random``: the only source of chance in here, so
-    that a run can be repeated from its seed.  ``keeper`` is what the disk
-    holds (``quorum_log_records.Keeper``) on an instance that has one, and
+    ``rng`` is a ``random.Random``: the only source of randomness here, so
+    that a run can be reproduced from its seed.  ``seeds`` are the peers known
+    at the start.  ``keeper`` is the data loaded from disk
+    (``quorum_log_records.Keeper``), on an instance that has one, and
     ``bootstrap`` the names of the first keepers, which also grant claims on
     idempotency keys; without either, the instance keeps a log of its own in
-    memory.  ``keeps_usage`` tells that there is a disk for usage and
-    ``log_options`` what else is chosen about the log;
-    ``routing_options`` says how recent state must be to be acted on,
-    ``longest_lease`` how long a silent backend server is taken for alive,
-    ``duty_options`` what the platform asks of whoever calls it.
-    ``new_policy(rng, view, state)`` makes the policy where ``policy`` is
-    not given.
+    memory.  ``keeps_usage`` tells that usage is stored on disk, and
+    ``log_options`` are further options of the log.  ``routing_options`` say
+    how recent state must be to be acted on, ``longest_lease`` how long (in
+    seconds) a silent backend server counts as alive, and ``duty_options`` what
+    the platform requires of the instance that calls it.
+    ``new_policy(rng, view, state)`` creates the policy and takes precedence
+    over ``policy``; without either, the adaptive policy is used.
     """
     state = state_module.new_state(
         identity,
@@ -133,34 +136,38 @@
     if new_policy is not None:
         view = cluster_view.StateView(state)
         policy = new_policy(rng, view, state)
-    chosen = policy or adaptive.Adaptive(
+    chosen_policy = policy or adaptive.Adaptive(
         rng,
         cluster_view.StateView(state),
         (identity.instance, identity.failure_domain),
     )
-    voting = claim_voting.ClaimVoting(state, bootstrap)
-    claimer = claims.Claims(state, voting)
-    renewing = renewals.Renewals(state, chosen)
+    voting_component = claim_voting.ClaimVoting(state, bootstrap)
+    claims_component = claims.Claims(state, voting_component)
+    renewals_component = renewals.Renewals(state, chosen_policy)
     ends = server_ends.ServerEnds(state)
-    serving = requests.Requests(state, chosen, claimer, ends)
+    request_component = requests.Requests(
+        state, chosen_policy, claims_component, ends
+    )
     parts = [
         members.Members(state),
         repair.Repair(state),
-        renewing,
-        backend_servers.BackendServers(state, chosen, renewing),
+        renewals_component,
+        backend_servers.BackendServers(
+            state, chosen_policy, renewals_component
+        ),
         usage.Usage(state, keeps_usage),
         configuration.Configuration(state),
         revisions.Revisions(state, configuration.answer_to),
-        voting,
-        claimer,
+        voting_component,
+        claims_component,
         ends,
-        server_loads.ServerLoads(state, chosen),
+        server_loads.ServerLoads(state, chosen_policy),
         usage_windows.UsageWindows(state),
-        serving,
+        request_component,
         orders.Orders(state),
         duties.Duties(state),
         caches.Caches(state),
     ]
-    # Every applier is registered by now, as the replay needs them all.
+    # Opened last: the replay needs the appliers of all components registered.
     state.log.open()
-    return Reducer(state, chosen, parts, serving.lives)
+    return Reducer(state, chosen_policy, parts, request_component.lives)
--- a/packages/dandeliontrail/src/dandeliontrail/sentinels.py
+++ b/packages/dandeliontrail/src/dandeliontrail/sentinels.py
@@ -1,7 +1,7 @@
 """Sentinel values that carry a reason.
 
-Decisions return one of these in place of a result where there is none.  All
-are false in a condition, so that the caller reads naturally::
+A decision without a result returns one of these instead.  All are false in a
+condition, so that callers read naturally::
 
     server = place(req, servers)
     if not server:
@@ -14,7 +14,7 @@
 
 
 class Reason(enum.Enum):
-    """Why a decision went against a request; the text goes to logs."""
+    """Why a request got no result; the value is written to logs."""
 
     UNKNOWN_KEY = "unknown_key"
     UNKNOWN_CLASS = "unknown_class"
