--- a/packages/dandeliontrail/src/dandeliontrail/components/answers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/answers.py
@@ -142,8 +142,8 @@
     """Return the log line of one decision about a request.
 
     ``inputs`` are the values that the decision was based on.  Anything but a
-    dispatch or a completed answer is marked as important, so that it is logged
-    even when other lines are dropped.
+    dispatch, a completed or a replayed answer is marked as important, so that
+    it is logged even when other lines are dropped.
     """
     fields = {
         "request_id": work.request_id,
--- a/packages/dandeliontrail/src/dandeliontrail/components/claims.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/claims.py
@@ -24,6 +24,8 @@
 # Upper bound of the random delay before a key is claimed again, so that two
 # requests that split the votes do not retry at the same time.
 MAX_CONTENTION_BACKOFF_SECONDS = 0.3
+# How often granted claims are renewed at their voters: three times within the
+# time for which a voter remembers a claim.
 RENEWAL_SECONDS = claims.CLAIM_SECONDS / 3
 RETRY_AFTER_SECONDS = 2.0
 
--- a/packages/dandeliontrail/src/dandeliontrail/components/intake.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/intake.py
@@ -7,8 +7,8 @@
 from ..decisions import work as work_module
 from ..resources import specs
 
-# Timeout of a request whose caller sets none.  Overnight batch reviews wait
-# for minutes, not for days.
+# Timeout, in seconds, of a request that sets none: overnight batch reviews of
+# the users wait for minutes, not for days.
 DEFAULT_TIMEOUT_SECONDS = 600.0
 
 
--- a/packages/dandeliontrail/src/dandeliontrail/components/life.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/life.py
@@ -215,11 +215,11 @@
         invariants.check(
             self.work.repeatable or self.begun == 1,
             "non-repeatable-runs-at-most-once",
-            f"{self.work.request_id} begins for the {self.begun}. time",
+            f"{self.work.request_id} may have begun {self.begun} times",
         )
 
     def mark_not_begun(self):
-        """Requeue after the server reported that it did not begin."""
+        """Requeue after the current attempt did not begin."""
         if self.phase is Phase.MAY_HAVE_BEGUN:
             self.begun -= 1
         self.transition_to(Phase.QUEUED)
--- a/tests/cover/test_hedge_machine.py
+++ b/tests/cover/test_hedge_machine.py
@@ -68,7 +68,7 @@
     return attempt in seen.began
 
 
-def may_be_turned_away(seen, attempt):
+def may_be_rejected(seen, attempt):
     return attempt in seen.began and attempt not in seen.spoke
 
 
@@ -200,9 +200,9 @@
     def is_not_reached(self, number):
         self.not_begun(*self.choose(number, unsent), said=False)
 
-    @rule_of(may_be_turned_away)
-    def is_turned_away(self, number):
-        self.not_begun(*self.choose(number, may_be_turned_away), said=True)
+    @rule_of(may_be_rejected)
+    def is_rejected(self, number):
+        self.not_begun(*self.choose(number, may_be_rejected), said=True)
 
     def not_begun(self, request_id, attempt, said):
         seen = self.seen[request_id]
