--- a/packages/dandeliontrail/src/dandeliontrail/components/answers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/answers.py
@@ -17,7 +17,7 @@
     sentinels.Reason.UNKNOWN_KEY: _RefusalText(
         401,
         "unknown_key",
-        "The API key belongs to no organisation.",
+        "The key belongs to no organisation.",
         "send Authorization: Bearer with a key that an operator has"
         " registered",
     ),
