--- a/packages/dandeliontrail/src/dandeliontrail/decisions/__init__.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/__init__.py
@@ -1,5 +1,5 @@
-"""What is decided under load: admit, queue, refuse, place, shift, retry.
+"""Decisions on requests: admission, queueing, placement, retries and hedges.
 
-Nothing here does I/O or reads a clock, so that every decision runs in a
-test without sockets and in virtual time on the policy bench.
+Nothing here does I/O or reads a clock, so that every decision can run in
+tests without sockets, and in virtual time in the policy simulation.
 """
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/attempts.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/attempts.py
@@ -1,12 +1,15 @@
-"""The attempts under way, of which a request may have two.
+"""The outstanding attempts of requests.
 
-A request whose server is silent has a hedge beside its first attempt.  The
-policies keep attempts of their own kinds here, each with a ``server``.
+A request whose server is silent may have a second attempt, a hedge, beside
+its first one.  Each policy stores its own type of attempt here; all types have
+a ``server``.
 """
 
 
 class Attempts:
-    """Attempts by request; iterates over those that have one.
+    """Outstanding attempts; iterates over the ids of their requests.
+
+    Its length counts hedges too.
 
     >>> attempts = Attempts()
     >>> len(attempts)
@@ -33,15 +36,15 @@
         return self._first.get(request_id)
 
     def add(self, request_id, attempt, hedge=False):
-        """Take in an attempt, beside the first one where it is a hedge."""
-        held = self.hedges if hedge else self._first
-        held[request_id] = attempt
+        """Add the first attempt of a request, or its hedge."""
+        by_request = self.hedges if hedge else self._first
+        by_request[request_id] = attempt
 
     def take(self, ended):
-        """Take off the attempt that ended (``work.Ended``); return it.
+        """Remove and return the attempt that ended (:class:`.work.Ended`).
 
-        Where the first one ended its hedge takes its place.  ``None`` where
-        the request has none.
+        If it was the first attempt, the hedge takes its place.  Returns
+        ``None`` if the request has no attempt.
         """
         request_id = ended.request_id
         hedge = self.hedges.get(request_id)
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/concurrency.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/concurrency.py
@@ -1,25 +1,26 @@
-"""How much an engine may run at once, learned from its pace.
+"""Learns how many requests an engine may run at once.
 
-The configured slots say what an engine accepts, not at which batch it still
-meets the targets.  The limit falls by a part when the gaps between tokens
-exceed the target of the class and rises by a little when they do not
-(additive increase, multiplicative decrease: Chiu and Jain, 1989).
+The configured slots are what an engine accepts, not the batch size at which
+it still meets the latency targets.  The limit is multiplied by a factor below
+1 when the gaps between tokens exceed the target of the class, and grows by a
+constant when they do not (additive increase, multiplicative decrease: Chiu
+and Jain, 1989).
 """
 
-# A limit below this would leave an engine all but idle on one bad sample.
-LEAST = 2.0
-FALL = 0.93
-RISE = 0.05
+# A lower limit would leave an engine all but idle after one bad sample.
+MIN_LIMIT = 2.0
+DECREASE_FACTOR = 0.93
+INCREASE_STEP = 0.05
 
 
 def learn(engine, work, gap_ms, slots):
-    """Take in the mean gap of one answer."""
+    """Adjust the limit of an engine by the mean gap of one answer, in ms."""
     target = work.between_tokens_ms
     if target is None:
         return
     if gap_ms > target:
-        # Only a batch near the limit speaks about the limit.
+        # Only a batch near the limit says something about the limit.
         if engine.total() >= engine.limit * 0.7:
-            engine.limit = max(LEAST, engine.limit * FALL)
+            engine.limit = max(MIN_LIMIT, engine.limit * DECREASE_FACTOR)
     else:
-        engine.limit = min(float(slots), engine.limit + RISE)
+        engine.limit = min(float(slots), engine.limit + INCREASE_STEP)
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/crash_suspects.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/crash_suspects.py
@@ -1,89 +1,91 @@
-"""Which requests are held back because servers end under them.
+"""Decides which requests are held back because servers crash on them.
 
-Made for a request that crashes each server which begins to run it, and comes
-again: every resend ends one or two more servers, with all that runs beside
-it, until the pool is down.  After three ends it gets no server any more, at
-any instance.
+A request that crashes each server which begins to run it, and that its caller
+sends again, would end one or two more servers with every resend, along with
+all that runs beside it, until the pool is down.  After three crashes no
+instance gives it a server any more.
 
-Harm that it prevents on the other side: beside such a request run others,
-which must not be held back with it.
+Other requests run beside such a one and must not be held back with it:
 
-- Only what a server had not answered is suspect: it crashes as it begins, so
-  a stream that has been going on for a while is not what ended it.
-- What any server has served to the end is cleared.
-- A server that is heard of later has not ended: its connection was reset.
-- An end that another request explains, under which more servers ended, does
-  not count; but for :data:`SURE_ENDS`, which are more than a request meets
-  that is innocent and comes back once.
+- Only a request that the server had hardly begun to answer is a suspect.  A
+  server crashes on a request as it begins it, so a stream that has been open
+  for a while is not the cause.
+- A request that any server has completed is cleared.
+- A server that is heard of later has not crashed: its connection was reset.
+- A crash that is attributed to another request, one with more crashes, does
+  not count, unless there are :data:`CRASHES_TO_HOLD_ANYWAY`: more than an
+  innocent request that is resent once meets.
 """
 
-# So many servers end under a request before it is held back.
-ENDS_TO_HOLD = 3
-# So many are enough also where another request explains them: a caller that
-# comes back once has two attempts of two servers each.
-SURE_ENDS = 5
+# A request is held after this many crashes that are not attributed to another
+# one.
+CRASHES_TO_HOLD = 3
+# This many crashes hold a request even if other requests are the likelier
+# cause.  A caller that resends once makes two attempts twice, so an innocent
+# request meets four crashes at most.
+CRASHES_TO_HOLD_ANYWAY = 5
 # A request that crashes its server does so this soon after its first output.
-CRASH_SECONDS = 0.5
+CRASH_WINDOW_SECONDS = 0.5
 # A server that announces itself this long after a connection to it closed has
-# not ended: what it sent before may be on its way as long.
-SOUND_SECONDS = 2.0
-# A held request may try again this long after the last end, once: the next
-# end holds it back again.
+# not crashed.  Announcements from before may be delayed for as long.
+ALIVE_MARGIN_SECONDS = 2.0
+# A held request may try again this long after the last crash, once: the next
+# crash holds it back again.
 HOLD_SECONDS = 600.0
 
 
 def is_suspect(closed, output_at, now):
-    """Tell whether an attempt that failed may have ended its server.
+    """Return whether an attempt that failed may have crashed its server.
 
-    ``closed`` tells that the connection ended, ``output_at`` when the attempt
-    had its first output, zero without any.
+    ``closed`` tells that the connection was closed, ``output_at`` when the
+    attempt had its first output, 0 without any.
     """
-    return closed and (not output_at or now - output_at < CRASH_SECONDS)
+    return closed and (not output_at or now - output_at < CRASH_WINDOW_SECONDS)
 
 
 def is_held(table, fingerprint, registry, now):
-    """Tell whether a request gets no server now.
+    """Return whether a request gets no server at present.
 
     ``table`` is the :class:`..coordination.server_ends.EndsTable`,
-    ``registry`` that of the servers.
+    ``registry`` the ``ServerRegistry``.
     """
-    found = table.suspects.get(fingerprint)
-    if found is None or len(found.ends) < ENDS_TO_HOLD:
+    record = table.suspects.get(fingerprint)
+    if record is None or len(record.ends) < CRASHES_TO_HOLD:
         return False
-    if now - found.last > HOLD_SECONDS:
+    if now - record.last > HOLD_SECONDS:
         return False
-    counted = [
+    crashed = [
         incarnation
-        for incarnation, at in found.ends.items()
-        if not _is_sound(registry, incarnation, at, now)
+        for incarnation, at in record.ends.items()
+        if not _is_alive(registry, incarnation, at, now)
     ]
-    if len(counted) >= SURE_ENDS:
+    if len(crashed) >= CRASHES_TO_HOLD_ANYWAY:
         return True
-    own = [
+    attributed = [
         incarnation
-        for incarnation in counted
-        if not _is_explained(table, fingerprint, incarnation)
+        for incarnation in crashed
+        if not _has_likelier_cause(table, fingerprint, incarnation)
     ]
-    return len(own) >= ENDS_TO_HOLD
+    return len(attributed) >= CRASHES_TO_HOLD
 
 
-def _is_sound(registry, incarnation, at, now):
-    """Tell whether a server was heard of since it seemed to end."""
+def _is_alive(registry, incarnation, at, now):
+    """Return whether a server was heard of since its presumed crash."""
     name, epoch = incarnation
-    held = registry.servers.get(name)
+    server = registry.servers.get(name)
     return (
-        held is not None
-        and held.announcement.epoch == epoch
-        and held.heard > at + SOUND_SECONDS
-        and held.expires > now
+        server is not None
+        and server.announcement.epoch == epoch
+        and server.heard > at + ALIVE_MARGIN_SECONDS
+        and server.expires > now
     )
 
 
-def _is_explained(table, fingerprint, incarnation):
-    """Tell whether an end is rather due to another request."""
-    ends = len(table.suspects[fingerprint].ends)
+def _has_likelier_cause(table, fingerprint, incarnation):
+    """Return whether another request is more likely to have crashed it."""
+    own_crashes = len(table.suspects[fingerprint].ends)
     for other in table.under(incarnation):
-        others = len(table.suspects[other].ends)
-        if others > ends and others >= ENDS_TO_HOLD:
+        crashes = len(table.suspects[other].ends)
+        if crashes > own_crashes and crashes >= CRASHES_TO_HOLD:
             return True
     return False
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/engines.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/engines.py
@@ -1,9 +1,9 @@
-"""What this instance believes of each backend server's load and pace.
+"""This instance's estimate of each backend server's load and latency.
 
-A server's own report is late by its age, and other instances decide in the
-meantime.  So the view is put together: this instance's outstanding work is
-known exactly, and the work of the others is what the report says beyond
-what this instance had there when the report was measured.
+A server's load report is outdated by its age, and other instances place work
+in the meantime.  So the estimate has two sources: this instance's outstanding
+work is known exactly, and the work of the other instances is what the report
+shows beyond what this instance had there when the report was measured.
 """
 
 import collections
@@ -13,25 +13,32 @@
 from . import pace
 from . import quota
 
-# Own counts are kept this long, to be compared with reports that are late.
+# How long past counts of own work are kept, to be compared with late reports.
 HISTORY_SECONDS = 10.0
-# Of the memory that a server reports, this part is planned with; the rest
-# covers answers that run longer than thought.
-KV_PART = 0.9
-# Beyond its even share an instance goes only up to this part: reports count
-# a prompt as it is read, so that what was just placed is missing there.
-KV_BORROWED_PART = 0.4
-# Failures in a row after which a server is drained and probed back.
-FEW_FAILURES = 2
-# While it still runs own work it may just be full and refuse more, which is
-# no reason to drain it; only when nothing else comes of it is it.
-MANY_FAILURES = 6
-# A slow server gets one probe in this many seconds.
+# The fraction of a server's KV cache that is planned with; the rest covers
+# answers that become longer than predicted.
+KV_PLANNED_FRACTION = 0.9
+# Beyond its even share an instance uses KV cache only up to this fraction:
+# reports count a prompt only as it is prefilled, so they do not include what
+# has just been placed.
+KV_BORROWED_FRACTION = 0.4
+# After this many failures in a row a server gets no work but probes.
+FAILURES_TO_DRAIN_IDLE = 2
+# The same for a server that still runs work of this instance: it may just be
+# full and refuse more, which is no reason to drain it unless it happens again
+# and again.
+FAILURES_TO_DRAIN_BUSY = 6
+# A slow server gets one probe per this many seconds.
 PROBE_INTERVAL = 3.0
 
 
 class Attempt(msgspec.Struct):
-    """One outstanding attempt of this instance."""
+    """One outstanding attempt of this instance.
+
+    ``placed`` is when it was placed, ``footprint`` the KV cache that it is
+    expected to take, in tokens, ``first_output`` when its first output came,
+    0 before that.  ``probe`` tells that it probes a slow server.
+    """
 
     work: object
     server: str
@@ -42,10 +49,15 @@
 
 
 class Engine:
-    """The view of one backend server.
-
-    ``quota`` is how much of it this instance takes by itself, ``reserve``
-    how many slots lower classes leave free on it.
+    """The estimate of one backend server's load and latency.
+
+    ``own`` counts the outstanding requests of this instance, ``others`` those
+    of the other instances as estimated from the last report.  ``limit`` is
+    how many requests the server may run (:mod:`.concurrency`), ``quota`` this
+    instance's share of it, ``allowed`` that share in whole requests,
+    ``reserve`` the slots that lower classes leave free.  ``gap`` and
+    ``first`` compare the gap between tokens and the time to first token with
+    the usual ones.  ``slow`` tells that the server gets only probes.
     """
 
     __slots__ = (
@@ -81,8 +93,8 @@
         self.quota = None
         self.allowed = 0
         self.reserve = 0
-        self.gap = pace.Ratio()
-        self.first = pace.Ratio()
+        self.gap = pace.SmoothedRatio()
+        self.first = pace.SmoothedRatio()
         self.failures = 0
         self.slow = False
         self.next_probe = 0.0
@@ -94,27 +106,30 @@
         self._history = collections.deque()
 
     def announce(self, slots):
-        """Take in the announced slots; new ones are learned from anew."""
+        """Set the announced slots; reset the limit if they have changed."""
         if slots != self.slots:
             self.slots = slots
             self.limit = float(slots)
 
     def change_own(self, by, now):
-        """Count own work and remember since when."""
+        """Change the own count and keep the former one in the history."""
         self._history.append((now, self.own))
         while self._history[0][0] < now - HISTORY_SECONDS:
             self._history.popleft()
         self.own += by
 
     def own_at(self, when):
-        """Return the own count at a past moment."""
-        for changed, before in self._history:
-            if changed > when:
-                return before
+        """Return the own count at a past time."""
+        for changed_at, count_before in self._history:
+            if changed_at > when:
+                return count_before
         return self.own
 
     def report(self, load, measured):
-        """Take in the load that the server measured at ``measured``."""
+        """Apply a load report that the server measured at ``measured``.
+
+        Placements up to then are included in its KV cache use.
+        """
         total = load.running + load.waiting
         self.others = max(0, total - self.own_at(measured))
         self.kv_reported = float(load.kv_used)
@@ -122,29 +137,32 @@
             self.kv_placed.popleft()
 
     def total(self):
-        """Return the outstanding work of all instances, as believed."""
+        """Return the estimated outstanding requests of all instances."""
         return self.own + self.others
 
     def fits(self, footprint, kv_tokens, instances):
-        """Tell whether a footprint goes into the planned memory.
+        """Return whether ``footprint`` tokens fit into the KV cache.
 
-        An engine that runs out of memory preempts a stream and computes all
-        of it again.  An even share of the memory can be held to without any
-        report; more is used where the last report leaves room for it, even
-        if the other instances placed as much since as this one did.
+        An engine whose KV cache is full preempts a stream and recomputes all
+        of it.  This instance may use an even share of the cache without any
+        report.  It uses more where the last report leaves room for it, even
+        if each other instance has placed as much since as this one.
         """
         if not kv_tokens or not self.total():
             return True
-        if self.kv_own + footprint <= KV_PART * kv_tokens / instances:
-            return self.kv_reported <= KV_PART * kv_tokens
-        since = sum(size for _, size in self.kv_placed)
-        expected = self.kv_reported + since * instances + footprint
-        return expected <= KV_BORROWED_PART * kv_tokens
+        if (
+            self.kv_own + footprint
+            <= KV_PLANNED_FRACTION * kv_tokens / instances
+        ):
+            return self.kv_reported <= KV_PLANNED_FRACTION * kv_tokens
+        placed_since = sum(size for _, size in self.kv_placed)
+        expected = self.kv_reported + placed_since * instances + footprint
+        return expected <= KV_BORROWED_FRACTION * kv_tokens
 
     def share(self, instances, draw):
-        """Set how much of the server this instance takes by itself.
+        """Update this instance's quota of the server (:mod:`.quota`).
 
-        ``draw``, between 0 and 1, rounds the fraction.
+        ``draw``, random between 0 and 1, decides the rounding of ``allowed``.
         """
         even = self.limit / instances
         if self.quota is None:
@@ -155,23 +173,25 @@
         self.quota = quota.moved(self.quota, even, room, using)
         self.quota = min(self.limit, self.quota)
         self.allowed = int(self.quota + draw)
-        # A server with fewer slots than there are instances is no instance's
-        # by an even share; while it has room, each may send one.
+        # With fewer slots than there are instances, an even share is below
+        # one request; while the server has room, each may send one.
         if self.total() < self.limit - self.reserve:
             self.allowed = max(1, self.allowed)
 
     def fail(self, now):
-        """Take in an attempt that broke off or could not connect."""
+        """Record an attempt that broke off or could not connect."""
         self.failures += 1
-        enough = FEW_FAILURES if not self.own else MANY_FAILURES
-        if self.failures >= enough:
+        threshold = (
+            FAILURES_TO_DRAIN_IDLE if not self.own else FAILURES_TO_DRAIN_BUSY
+        )
+        if self.failures >= threshold:
             self.drain(now)
 
     def drain(self, now):
-        """Give it no more work but probes."""
+        """Stop giving the server work, except for probes."""
         self.slow = True
         self.next_probe = now + PROBE_INTERVAL
 
     def may_probe(self, now):
-        """Tell whether a slow server is due for one request."""
+        """Return whether a slow server is due for a probe."""
         return not self.probing and now >= self.next_probe
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/patience.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/patience.py
@@ -1,16 +1,16 @@
-"""How long a silent server is waited for before another one is asked.
-
-Made for answers that never come: a failure domain is cut off with streams
-under way, an engine runs a request and its answer is lost, a connection has
-gone silent for good.  The caller would wait until its time is up, though
-another server could answer, or go on with the stream, within it.
-
-Harm that it prevents on the other side: under load a first event takes long
-because engines are busy, and to ask another one doubles the work.  So the
-first event is waited for well beyond its target, and longer the more there is
-to read: what an engine has read of a long prompt is lost with the attempt.  A
-pause is waited for no longer than the route allows, since an answer that
-pauses longer is late in any case; and repeats have a budget
+"""Timeouts after which a silent attempt is hedged at another server.
+
+Some answers never come: a failure domain is partitioned off with streams
+open, an engine runs a request and its answer is lost, a connection has gone
+silent for good.  The caller would wait until its deadline, although another
+server could answer, or continue the stream, before it.
+
+Under load a first event takes long because engines are busy, and a hedge
+would double the work.  So the timeout for the first event is well beyond its
+latency target, and grows with the length of the prompt: what an engine has
+prefilled of a long prompt is lost with the attempt.  The timeout between
+events is the longest gap that the route allows, since an answer with a longer
+gap misses its target in any case.  Hedges also count against the retry budget
 (:mod:`.retry_budget`).
 
     >>> from dandeliontrail.decisions import work
@@ -28,19 +28,21 @@
 
 import msgspec
 
-# Of a target for the first output, or for a whole plain answer.
-TARGETS_TO_FIRST = 2.0
-# Prompt tokens a second that an engine reads at least, beside other work.
-LEAST_READ_RATE = 20_000.0
-# A connection between failure domains that loses a packet is silent for some
-# tenths of a second before the kernel sends it again.
-LEAST_SECONDS = 0.5
+# The timeout for the first output, or for a whole answer that is not
+# streamed, as a multiple of its latency target.
+FIRST_OUTPUT_FACTOR = 2.0
+# The lowest prefill rate of an engine beside its other work.
+MIN_PREFILL_TOKENS_PER_SECOND = 20_000.0
+# No timeout is shorter: a connection between failure domains that loses a
+# packet is silent for some tenths of a second until the kernel retransmits.
+MIN_TIMEOUT_SECONDS = 0.5
 
 
 class Patience(msgspec.Struct, frozen=True):
-    """Seconds without a byte; ``None`` waits until the caller's deadline.
+    """Timeouts without a byte, in seconds; ``None`` is the deadline.
 
-    ``first`` is up to the first output, ``between`` from one to the next.
+    ``first`` is the time until the first output, ``between`` the time from
+    one output to the next.
     """
 
     first: float | None = None
@@ -51,20 +53,21 @@
 
 
 def of_attempt(work, begun):
-    """Return how long to wait for the next attempt of ``work``.
+    """Return the :class:`Patience` with the next attempt of ``work``.
 
-    ``begun`` attempts have been made before it.  What may run only once, or
-    has no attempt left, is waited for to the end.
+    ``begun`` attempts have been made before it.  Work that may run only once
+    or has no attempt left has no timeout but its deadline.
     """
     if not work.repeatable or begun + 1 >= work.max_attempts:
         return ENDLESS
-    first = _at_least(work.first_token_ms, TARGETS_TO_FIRST)
+    first = _timeout(work.first_token_ms, FIRST_OUTPUT_FACTOR)
     if first is not None:
-        first += work.prompt_tokens / LEAST_READ_RATE
-    return Patience(first, _at_least(work.between_tokens_ms, 1.0))
+        first += work.prompt_tokens / MIN_PREFILL_TOKENS_PER_SECOND
+    return Patience(first, _timeout(work.between_tokens_ms, 1.0))
 
 
-def _at_least(target_ms, times):
+def _timeout(target_ms, factor):
+    """Return a timeout in seconds, or ``None`` without a target."""
     if target_ms is None:
         return None
-    return max(LEAST_SECONDS, times * target_ms / 1000.0)
+    return max(MIN_TIMEOUT_SECONDS, factor * target_ms / 1000.0)
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/prefix_index.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/prefix_index.py
@@ -1,14 +1,14 @@
-"""Which engine has which prompt prefix in its cache, as far as one knows.
+"""An index of which engine probably has which prompt prefix cached.
 
-Engines publish cache events late and with gaps, so the index holds guesses,
-each with a confidence.  It is made for 250 engines with some thousands of
-prefixes each, in 16 MB: a table of fixed size, in which an entry can only
-sit in one small set and the oldest of the set makes room.  A dictionary
-would hold a tenth of the entries in the same memory and has no bound.
+Engines publish cache events late and with gaps, so the index holds estimates,
+each with a confidence.  It is designed for 250 engines with a few thousand
+prefixes each, in 16 MB: a set-associative table of bounded size, in which a
+new entry evicts the oldest one of its set.  A dictionary would hold a tenth
+of the entries in the same memory and has no bound.
 
-The harm it prevents is prompt work done twice, and the harm it must not do
-is to send a request past an idle engine to one whose cache has long lost
-the prefix.  That is why a gap lowers trust in what is held.
+The index prevents prompts from being prefilled twice.  It must not send a
+request past an idle engine to one that evicted the prefix long ago, so a gap
+in the events lowers the trust in all entries of the engine.
 """
 
 import array
@@ -16,57 +16,63 @@
 
 import msgspec
 
-# Entries of a set share one place in the table; eight keep the chance low
-# that one hot set loses entries while others stand empty.
+# Entries per set (the associativity); with eight it is unlikely that one full
+# set evicts entries while others are empty.
 WAYS = 8
-# The table starts small and doubles as engines come, up to a limit: ten
-# engines of today take half a megabyte, 250 take eight.
-FIRST_ENTRIES = 1 << 15
-DEFAULT_ENTRIES = 1 << 19
+# The table starts with the first size and doubles as engines are added, up to
+# the second: ten engines take half a megabyte, 250 take eight.
+INITIAL_ENTRIES = 1 << 15
+DEFAULT_MAX_ENTRIES = 1 << 19
 ENTRIES_PER_ENGINE = 2048
 KEY_BITS = 64
 KEY_MASK = (1 << KEY_BITS) - 1
 # Multiplier of Fibonacci hashing (Knuth, TAOCP 3, 6.4): spreads the keys of
 # one engine's prefixes over all sets.
-SPREAD = 0x9E3779B97F4A7C15
-# An engine of which nothing is known holds about this many prefixes; it
-# says how fast new events make up for lost ones.
-ASSUMED_HELD = 256
-# Below this trust a guess costs more by misplacing than it saves.
-LEAST_TRUST = 0.05
+FIBONACCI_MULTIPLIER = 0x9E3779B97F4A7C15
+# An engine is assumed to cache at least this many prefixes, which determines
+# how much a lost event lowers the trust and a new one restores it.
+MIN_CACHED_PREFIXES = 256
+# Below this trust, wrong estimates cost more by bad placement than right ones
+# save.
+MIN_TRUST = 0.05
 
 
-class Expected(msgspec.Struct, frozen=True):
-    """Prompt tokens that an engine need not compute, and how sure it is."""
+class ExpectedHit(msgspec.Struct, frozen=True):
+    """Prompt tokens that an engine probably has cached.
+
+    ``confidence`` is the probability of it, from 0 to 1.
+    """
 
     tokens: int = 0
     confidence: float = 0.0
 
     @property
     def saved(self):
-        """Return the tokens that are saved on average."""
+        """Return the expected number of tokens saved."""
         return self.tokens * self.confidence
 
 
-NOTHING_EXPECTED = Expected()
+NO_HIT = ExpectedHit()
 
 
-class _Feed(msgspec.Struct):
-    """How well the events of one engine are followed.
+class _EventFeed(msgspec.Struct):
+    """The state of one engine's stream of cache events.
 
-    ``salt`` is part of every key of the engine: a new one makes all its
-    entries unreachable at once, as a restart does with a cache.
+    ``salt`` is part of every key of the engine: a new one invalidates all its
+    entries at once, as after a restart.  ``next_sequence`` is the sequence
+    number expected next, ``entries`` the number of the engine's entries,
+    ``trust`` the confidence in them, from 0 to 1.
     """
 
     epoch: int
     salt: int
     next_sequence: int = 0
-    held: int = 0
+    entries: int = 0
     trust: float = 1.0
 
 
 class PrefixIndex:
-    """Guesses for all engines, in a table of fixed size.
+    """Estimates for all engines, in a table of bounded size.
 
     >>> index = PrefixIndex(entries=64)
     >>> index.dispatched("e1", "ab12", 500)
@@ -85,22 +91,22 @@
         "_salts",
     )
 
-    def __init__(self, entries=DEFAULT_ENTRIES):
+    def __init__(self, entries=DEFAULT_MAX_ENTRIES):
         self._most = entries
         self._feeds = {}
         self._stamp = 0
         self._salts = 0
-        self._make(min(entries, FIRST_ENTRIES))
+        self._allocate(min(entries, INITIAL_ENTRIES))
 
-    def _make(self, entries):
+    def _allocate(self, entries):
         self._sets = entries // WAYS
         size = self._sets * WAYS
         self._keys = array.array("Q", bytes(8 * size))
         self._tokens = array.array("I", bytes(4 * size))
         self._stamps = array.array("I", bytes(4 * size))
 
-    def _follow(self, server, feed):
-        """Follow another engine, in a larger table where it takes one."""
+    def _add_feed(self, server, feed):
+        """Add another engine; grow the table if needed."""
         self._feeds[server] = feed
         size = self._sets * WAYS
         wanted = len(self._feeds) * ENTRIES_PER_ENGINE
@@ -108,46 +114,48 @@
             self._grow(min(size * 2, self._most))
 
     def _grow(self, entries):
-        held = zip(self._keys, self._tokens, self._stamps, strict=True)
-        self._make(entries)
-        for key, tokens, stamp in held:
+        old_entries = zip(self._keys, self._tokens, self._stamps, strict=True)
+        self._allocate(entries)
+        for key, tokens, stamp in old_entries:
             if not key:
                 continue
-            slot = self._oldest(key)
+            slot = self._oldest_slot(key)
             self._keys[slot] = key
             self._tokens[slot] = tokens
             self._stamps[slot] = stamp
 
     def memory_bytes(self):
-        """Return the bytes that the table takes."""
+        """Return the size of the table in bytes."""
         arrays = (self._keys, self._tokens, self._stamps)
         return sum(len(item) * item.itemsize for item in arrays)
 
     def apply(self, server, batch):
-        """Take in a batch of events of ``server``.
+        """Apply a batch of cache events of ``server``.
 
-        A batch that was seen before, in whole or in part, repeats what it
-        said, which does no harm; one of an older epoch is dropped.
+        Events that were applied before are skipped, so a repeated batch
+        changes nothing; a batch of an older epoch is dropped.
         """
-        feed = self._feed_at(server, batch.epoch)
+        feed = self._feed_of_epoch(server, batch.epoch)
         if feed is None:
             return
-        last = batch.first_sequence + len(batch.events)
-        if last <= feed.next_sequence:
+        end = batch.first_sequence + len(batch.events)
+        if end <= feed.next_sequence:
             return
+        # How many events were applied before; negative if some were lost.
         seen = feed.next_sequence - batch.first_sequence
         if feed.next_sequence:
             self._note_gap(feed, -seen)
         for event in batch.events[max(0, seen) :]:
             self._apply_event(feed, event)
-        self._regain(feed, len(batch.events) - max(0, seen))
-        feed.next_sequence = last
+        self._restore_trust(feed, len(batch.events) - max(0, seen))
+        feed.next_sequence = end
 
-    def _feed_at(self, server, epoch):
+    def _feed_of_epoch(self, server, epoch):
+        """Return the feed of an engine, or ``None`` for an older epoch."""
         feed = self._feeds.get(server)
         if feed is None:
-            feed = _Feed(epoch, self._new_salt())
-            self._follow(server, feed)
+            feed = _EventFeed(epoch, self._new_salt())
+            self._add_feed(server, feed)
         elif epoch < feed.epoch:
             return None
         elif epoch > feed.epoch:
@@ -159,19 +167,19 @@
     def _note_gap(self, feed, lost):
         """Lower the trust by what ``lost`` events may have removed.
 
-        Each lost event is at worst the removal of one held entry.
+        Each lost event is at worst the removal of one entry.
         """
         if lost <= 0:
             return
-        held = max(feed.held, ASSUMED_HELD)
-        feed.trust *= 1.0 - min(1.0, lost / held)
-        if feed.trust < LEAST_TRUST:
+        entries = max(feed.entries, MIN_CACHED_PREFIXES)
+        feed.trust *= 1.0 - min(1.0, lost / entries)
+        if feed.trust < MIN_TRUST:
             self._clear(feed)
 
-    def _regain(self, feed, seen):
-        """Raise the trust as events replace what the cache held."""
-        held = max(feed.held, ASSUMED_HELD)
-        feed.trust += (1.0 - feed.trust) * min(1.0, seen / held)
+    def _restore_trust(self, feed, applied):
+        """Raise the trust by the share of entries that events confirm."""
+        entries = max(feed.entries, MIN_CACHED_PREFIXES)
+        feed.trust += (1.0 - feed.trust) * min(1.0, applied / entries)
 
     def _apply_event(self, feed, event):
         if event.kind == "cleared":
@@ -179,45 +187,49 @@
             return
         key = _key(feed, event.prefix_hash)
         if event.kind == "stored":
-            feed.held += self._put(key, event.tokens)
+            feed.entries += self._put(key, event.tokens)
         elif event.kind == "removed":
-            feed.held -= self._remove(key)
+            feed.entries -= self._remove(key)
 
     def _clear(self, feed):
         feed.salt = self._new_salt()
-        feed.held = 0
+        feed.entries = 0
         feed.trust = 1.0
 
     def _new_salt(self):
         self._salts += 1
-        return (self._salts * SPREAD) & KEY_MASK
+        return (self._salts * FIBONACCI_MULTIPLIER) & KEY_MASK
 
     def dispatched(self, server, prefix_hash, tokens):
-        """Take note that a prompt with this prefix goes to ``server``.
+        """Record that a prompt with this prefix was sent to ``server``.
 
-        Its cache event comes late; until then this is the better guess.
+        The prefix counts as cached before its cache event arrives.
         """
         feed = self._feeds.get(server)
         if feed is None:
-            feed = _Feed(0, self._new_salt())
-            self._follow(server, feed)
-        feed.held += self._put(_key(feed, prefix_hash), tokens)
+            feed = _EventFeed(0, self._new_salt())
+            self._add_feed(server, feed)
+        feed.entries += self._put(_key(feed, prefix_hash), tokens)
 
     def expected(self, server, prefix_hash):
-        """Return what ``server`` is expected to have of a prefix."""
+        """Return what ``server`` probably has cached of a prefix.
+
+        The result is an :class:`ExpectedHit`.
+        """
         feed = self._feeds.get(server)
         if feed is None or not prefix_hash:
-            return NOTHING_EXPECTED
-        slot = self._find(_key(feed, prefix_hash))
+            return NO_HIT
+        slot = self._find_slot(_key(feed, prefix_hash))
         if slot < 0:
-            return NOTHING_EXPECTED
-        return Expected(self._tokens[slot], feed.trust)
+            return NO_HIT
+        return ExpectedHit(self._tokens[slot], feed.trust)
 
     def forget(self, server):
-        """Drop an engine that is gone."""
+        """Drop the state of an engine that is gone."""
         self._feeds.pop(server, None)
 
-    def _find(self, key):
+    def _find_slot(self, key):
+        """Return the slot of a key, or -1."""
         start = (key % self._sets) * WAYS
         keys = self._keys
         for slot in range(start, start + WAYS):
@@ -226,24 +238,26 @@
         return -1
 
     def _put(self, key, tokens):
-        """Store an entry and return how many more there are: 0 or 1."""
-        slot = self._find(key)
-        added = slot < 0
-        if added:
-            slot = self._oldest(key)
+        """Store an entry; return 1 if it is new, else 0."""
+        slot = self._find_slot(key)
+        is_new = slot < 0
+        if is_new:
+            slot = self._oldest_slot(key)
         self._stamp = (self._stamp + 1) & 0xFFFFFFFF
         self._keys[slot] = key
         self._tokens[slot] = min(tokens, 0xFFFFFFFF)
         self._stamps[slot] = self._stamp
-        return int(added)
+        return int(is_new)
 
-    def _oldest(self, key):
+    def _oldest_slot(self, key):
+        """Return the slot of the oldest entry in the set of a key."""
         start = (key % self._sets) * WAYS
         stamps = self._stamps
         return min(range(start, start + WAYS), key=stamps.__getitem__)
 
     def _remove(self, key):
-        slot = self._find(key)
+        """Remove an entry; return 1 if there was one, else 0."""
+        slot = self._find_slot(key)
         if slot < 0:
             return 0
         self._keys[slot] = 0
@@ -254,9 +268,10 @@
 def _key(feed, prefix_hash):
     """Return the table key of a prefix at one engine; never zero.
 
-    A hash is opaque text of the engine's making, so it is hashed again;
-    CRC-32 of both halves is quick and spreads well enough for a guess.
+    ``prefix_hash`` is opaque text chosen by the engine, so it is hashed
+    again.  CRC-32 of the text and of its reverse is fast and spreads well
+    enough for an estimate.
     """
     text = prefix_hash.encode()
     number = zlib.crc32(text) << 32 | zlib.crc32(text[::-1])
-    return ((number ^ feed.salt) * SPREAD & KEY_MASK) or 1
+    return ((number ^ feed.salt) * FIBONACCI_MULTIPLIER & KEY_MASK) or 1
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/routing.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/routing.py
@@ -1,10 +1,10 @@
-"""Which route a request takes, by the revision in force."""
+"""Finds the route and the service of a request."""
 
 import bisect
 
 
 class RoutingTable:
-    """The routes and keys of one revision, ready for look-ups."""
+    """The routes and keys of one revision, indexed for lookups."""
 
     __slots__ = ("revision", "_hosts", "_owners")
 
@@ -15,22 +15,22 @@
         }
         self._hosts = {}
         for route in revision.routes:
-            held = self._hosts.setdefault(route.host.lower(), {})
-            held[route.path_prefix] = route
+            by_prefix = self._hosts.setdefault(route.host.lower(), {})
+            by_prefix[route.path_prefix] = route
 
     @property
     def keyed(self):
-        """Tell whether requests need a key, unless their route is public."""
+        """Return whether requests need a key, unless their route is public."""
         return bool(self.revision.organisations)
 
     def find(self, host, path):
         """Return the route with the longest prefix of ``path``, or None.
 
         Prefixes end with a slash, so only the beginnings of ``path`` up to
-        a slash are looked up, the longest first: however many routes a host
-        has, a look-up costs as many steps as the path has parts.
+        a slash are looked up, the longest first.  The cost of a lookup grows
+        with the segments of the path, not with the routes of the host.
         """
-        routes = self._hosts.get(_bare(host))
+        routes = self._hosts.get(_without_port(host))
         if routes is None:
             return None
         path = path.partition("?")[0]
@@ -45,11 +45,14 @@
         return None
 
     def owner(self, key_hash):
-        """Return the organisation that a key belongs to, or ``None``."""
+        """Return the organisation that owns a key, or ``None``.
+
+        ``key_hash`` is the key as organisations list it.
+        """
         return self._owners.get(key_hash)
 
 
-def _bare(host):
+def _without_port(host):
     """Return a host without its port, in lower case."""
     name, colon, port = host.rpartition(":")
     if colon and port.isdigit():
@@ -58,7 +61,9 @@
 
 
 def choose_service(split, draw):
-    """Return the service of a weighted split for ``draw`` in [0, 1).
+    """Return the service that a weighted split selects for a random draw.
+
+    ``draw`` is in [0, 1).
 
     >>> from dandeliontrail.resources import revisions
     >>> parts = [revisions.Split("a", 9), revisions.Split("b", 1)]
@@ -67,9 +72,9 @@
     """
     if len(split) == 1:
         return split[0].service
-    sums = []
+    cumulative = []
     total = 0
     for part in split:
         total += part.weight
-        sums.append(total)
-    return split[bisect.bisect_right(sums, draw * total)].service
+        cumulative.append(total)
+    return split[bisect.bisect_right(cumulative, draw * total)].service
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/searches.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/searches.py
@@ -1,20 +1,21 @@
-"""Work that looks for a server beside one that has it and is silent."""
+"""Pending searches for a second server beside one that is silent."""
 
 import msgspec
 
-# A round is due several times in this, with each answer that begins or ends.
-LOOK_INTERVAL = 0.1
+# How often a search is tried again.  Rounds of placement come several times
+# in this interval, with each answer that begins or ends.
+SEARCH_INTERVAL_SECONDS = 0.1
 
 
-class Search(msgspec.Struct):
-    """One search; ``due`` is when it looks again."""
+class HedgeSearch(msgspec.Struct):
+    """One search; ``due`` is when it is tried next."""
 
     work: object
     due: float
 
 
 class Searches:
-    """The searches of one instance.
+    """The pending searches of one instance, by request.
 
     >>> bool(Searches())
     False
@@ -29,16 +30,16 @@
         return bool(self._held)
 
     def begin(self, work, since):
-        """Look for a server from then on."""
-        self._held[work.request_id] = Search(work, since)
+        """Search for a server for a hedge of ``work``, from ``since`` on."""
+        self._held[work.request_id] = HedgeSearch(work, since)
 
     def end(self, request_id):
-        """Look no more."""
+        """End the search of a request, if it has one."""
         self._held.pop(request_id, None)
 
     def due(self, now):
-        """Return the searches that look now; each looks again a while on."""
+        """Return the searches that are due, and reschedule them."""
         found = [item for item in self._held.values() if now >= item.due]
         for search in found:
-            search.due = now + LOOK_INTERVAL
+            search.due = now + SEARCH_INTERVAL_SECONDS
         return found
--- a/tests/cover/test_attempts.py
+++ b/tests/cover/test_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of a request, of which it may have two."""
+"""The outstanding attempts of a request: the first one and a hedge."""
 
 import types
 
@@ -10,11 +10,12 @@
     return types.SimpleNamespace(server=server)
 
 
-def both():
-    made = attempts_module.Attempts()
-    made.add("r", attempt("e1"))
-    made.add("r", attempt("e2"), hedge=True)
-    return made
+def with_hedge():
+    """Return the first attempt of ``r`` at e1 with a hedge at e2."""
+    attempts = attempts_module.Attempts()
+    attempts.add("r", attempt("e1"))
+    attempts.add("r", attempt("e2"), hedge=True)
+    return attempts
 
 
 def ended(server):
@@ -22,24 +23,24 @@
 
 
 def test_both_attempts_of_a_request_are_counted():
-    made = both()
-    assert len(made) == 2
-    assert list(made) == ["r"]
-    assert made.get("r").server == "e1"
-
-
-def test_the_hedge_that_ends_leaves_the_first():
-    made = both()
-    assert made.take(ended("e2")).server == "e2"
-    assert made.get("r").server == "e1"
-    assert made.take(ended("e1")).server == "e1"
-    assert not made and "r" not in made
-
-
-def test_the_hedge_takes_the_place_of_the_first():
-    made = both()
-    assert made.take(ended("e1")).server == "e1"
-    assert made.get("r").server == "e2"
-    assert not made.hedges
-    assert made.take(ended("")).server == "e2"
-    assert made.take(ended("e2")) is None
+    attempts = with_hedge()
+    assert len(attempts) == 2
+    assert list(attempts) == ["r"]
+    assert attempts.get("r").server == "e1"
+
+
+def test_a_hedge_that_ends_leaves_the_first_attempt():
+    attempts = with_hedge()
+    assert attempts.take(ended("e2")).server == "e2"
+    assert attempts.get("r").server == "e1"
+    assert attempts.take(ended("e1")).server == "e1"
+    assert not attempts and "r" not in attempts
+
+
+def test_the_hedge_replaces_a_first_attempt_that_ends():
+    attempts = with_hedge()
+    assert attempts.take(ended("e1")).server == "e1"
+    assert attempts.get("r").server == "e2"
+    assert not attempts.hedges
+    assert attempts.take(ended("")).server == "e2"
+    assert attempts.take(ended("e2")) is None
--- a/tests/cover/test_crash_suspects.py
+++ b/tests/cover/test_crash_suspects.py
@@ -1,4 +1,4 @@
-"""Which requests are held back because servers end under them."""
+"""Which requests are held back because servers crash on them."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 
 def table_of(ends):
-    """Return a table with ``ends``, the servers' names by fingerprint."""
+    """Return an ``EndsTable``; ``ends`` maps fingerprints to server names."""
     table = server_ends.EndsTable()
     for fingerprint, names in ends.items():
         for name in names:
@@ -35,37 +35,38 @@
     registry.learn(announcement, 0.0, now)
 
 
-def test_is_held_after_three_ends():
+def test_is_held_after_three_crashes():
     assert not is_held(table_of({"p": "ab"}), "p")
     assert is_held(table_of({"p": "abc"}), "p")
 
 
-def test_one_that_ran_beside_a_worse_one_is_not_held():
+def test_request_beside_one_with_more_crashes_is_not_held():
     table = table_of({"p": "abcdef", "beside": "abc"})
     assert is_held(table, "p")
     assert not is_held(table, "beside")
 
 
-def test_ends_of_its_own_count_beside_those_of_a_worse_one():
+def test_crashes_without_a_likelier_cause_count():
     table = table_of({"p": "abcdef", "other": "abxyz"})
     assert is_held(table, "other")
 
 
-def test_two_that_always_run_together_are_both_held():
+def test_requests_that_always_run_together_are_both_held():
     table = table_of({"p": "abcde", "worse": "abcdef"})
     assert is_held(table, "worse")
     assert is_held(table, "p")
 
 
-def test_one_that_was_served_is_held_no_more_and_never_again():
+def test_completed_request_is_never_held_again():
     table = table_of({"p": "abc"})
     assert table.clear("p", NOW, NOW)
     assert not is_held(table, "p")
     assert not table.note("p", ("d", 0), NOW, NOW)
 
 
-def test_a_server_that_is_heard_of_later_has_not_ended():
-    # Connections are reset, and heartbeats that were sent before come late.
+def test_a_server_that_is_heard_of_later_has_not_crashed():
+    # Connections may be reset without a crash, but an announcement sent
+    # before a crash may arrive late, so a recent one shows nothing.
     registry = servers.ServerRegistry()
     table = table_of({"p": "abc"})
     announce(registry, "a", NOW + 1.0)
@@ -74,13 +75,13 @@
     assert not is_held(table, "p", registry, NOW + 2.5)
 
 
-def test_a_server_that_started_again_under_its_name_has_ended():
+def test_a_server_that_restarted_under_its_name_has_crashed():
     registry = servers.ServerRegistry()
     announce(registry, "a", NOW + 2.5, epoch=7)
     assert is_held(table_of({"p": "abc"}), "p", registry, NOW + 2.5)
 
 
-def test_is_tried_once_more_after_a_while():
+def test_held_request_is_tried_once_more_after_a_while():
     table = table_of({"p": "abc"})
     later = NOW + crash_suspects.HOLD_SECONDS + 1.0
     assert not is_held(table, "p", now=later)
@@ -97,7 +98,7 @@
         (False, 0.0, False),
     ],
 )
-def test_only_what_a_server_has_hardly_begun_is_suspect(
+def test_only_a_request_that_hardly_began_is_suspect(
     closed, output_at, suspect
 ):
     assert crash_suspects.is_suspect(closed, output_at, NOW) is suspect
@@ -146,7 +147,7 @@
             other.note(fingerprint, incarnation, NOW, NOW)
 
 
-def test_what_is_forgotten_does_not_come_back():
+def test_forgotten_record_does_not_come_back():
     table = table_of({"p": "a"})
     other = table_of({"p": "a"})
     later = NOW + server_ends.KEEP_ONE + 1.0
@@ -155,7 +156,7 @@
     assert table.digest.root == 0
 
 
-def test_is_bounded():
+def test_table_is_bounded():
     table = server_ends.EndsTable()
     surplus = 100
     for number in range(server_ends.MOST_RECORDS + surplus):
--- a/tests/cover/test_prefix_index.py
+++ b/tests/cover/test_prefix_index.py
@@ -1,4 +1,4 @@
-"""Where a prompt's prefix lies, as far as late and lossy events tell."""
+"""The prefix index, fed with late and lossy cache events."""
 
 from dandeliontrail.decisions import prefix_index
 from dandeliontrail.resources import announcements
@@ -19,9 +19,9 @@
     assert not index.expected("e2", "a").tokens
 
 
-def test_gap_lowers_trust_instead_of_lying():
-    # Half of an engine's events are lost on the way.  Any of them may have
-    # removed the prefix; sending work there for its sake would be a gamble.
+def test_gap_in_the_events_lowers_the_confidence():
+    # Half of an engine's events are lost.  Any of them may have removed the
+    # prefix, so the prefix may no longer be a reason to send work there.
     index = prefix_index.PrefixIndex(4096)
     index.apply("e1", stored(1, 0, "a"))
     index.apply("e1", stored(1, 129, "b"))
@@ -38,7 +38,7 @@
     index.apply("e1", stored(2, 0, "b"))
     assert not index.expected("e1", "a").tokens
     assert index.expected("e1", "b").tokens
-    # A batch of the time before the restart arrives late.
+    # A batch from before the restart arrives late.
     index.apply("e1", stored(1, 1, "c"))
     assert not index.expected("e1", "c").tokens
 
