--- a/packages/dandeliontrail/src/dandeliontrail/decisions/affinity.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/affinity.py
@@ -1,93 +1,98 @@
-"""Which model engine takes a request, by the prompt parts it may hold.
-
-Most of a long prompt is shared with other prompts, and an engine that has
-read a shared part keeps it for a while.  Reading 13,000 tokens anew takes an
-engine 0.2 s, in which all streams beside it stand still.  So requests go to
-an engine that holds their shared parts, unless it has clearly more to do
-than another.  Parts that nobody has read yet go where there is room, and
-where that is alike everywhere, in the order of a hash that every instance
-computes alike, so that two instances seldom send one part to two engines.
-
-Streams whose events must follow one another closely suffer from any prompt
-that is read beside them.  They get a part of the engines to themselves, and
-the long prompts the rest.  The part grows where close streams are most of the
-work, or many of the engines are lost, and the long prompts leave room for it.
+"""Cache affinity and cost weights for the choice of a model engine.
+
+Most of a long prompt is a prefix that other prompts share, and an engine
+keeps the KV cache of a prefix that it has prefilled for a while.  Prefilling
+13,000 tokens anew takes an engine 0.2 s, during which all its other streams
+stall.  So a request goes to an engine that has its shared prefix cached,
+unless that engine has clearly more to do than another.  A prefix that no
+engine has yet goes to an idle engine; among equally loaded ones the order
+follows from rendezvous hashing, which every instance computes alike, so that
+two instances seldom send one prefix to two engines.
+
+Streams with a tight target for the gap between events ("low-latency
+streams") suffer from any prompt that is prefilled beside them.  Some engines
+of the service are reserved for them, and long prompts get the rest.  More
+engines are reserved when low-latency streams are most of the work or many
+engines are lost, provided that the long prompts leave room for it.
 """
 
 import hashlib
 import math
 
-# The part of a service's engines that streams with the shortest pauses get
-# usually, and the most that they get: their prompts are short, so a few
-# engines serve many of them, and each one is missing where the long prompts
-# are kept.
-CLOSE_PART = 0.2
-MOST_CLOSE_PART = 0.5
-# An engine is kept for so many close streams, in parts of its slots.  More,
-# and their own prompts, read beside them, make their pauses long; then they
-# last longer too, and another engine is kept.
-CLOSE_SLOTS_PART = 0.5
-# A kept engine is given back once one fewer would be filled to this part.
-GIVE_BACK_PART = 0.8
-# No more than the usual part is kept while the others have so many prompt
-# tokens to read each: long prompts would wait for what close streams gain.
-PRESSED_TOKENS = 8000.0
-# How often the number is looked at, and over how many seconds the streams are
-# averaged: long prompts that move are read again.
-RESIZE_INTERVAL = 0.5
-RESIZE_SECONDS = 3.0
-# Routes whose longest pause is within this factor of the shortest count as
-# close.
-CLOSE_FACTOR = 1.25
+# The fraction of a service's engines that is usually reserved for low-latency
+# streams, and the largest one.  Their prompts are short, so a few engines
+# serve many of them, and each reserved engine is one less for long prompts.
+USUAL_RESERVED_FRACTION = 0.2
+MAX_RESERVED_FRACTION = 0.5
+# One engine is reserved per this fraction of its slots in low-latency
+# streams.  With more, their own prompts, prefilled beside them, make the gaps
+# long; the streams then last longer too, and a further engine is reserved.
+RESERVED_SLOTS_FRACTION = 0.5
+# A reserved engine is released once one fewer would be filled up to this
+# fraction of what it is reserved for.
+RELEASE_FRACTION = 0.8
+# No further engine is reserved while the others have more than this many
+# prompt tokens to prefill on average: long prompts would wait longer for what
+# the low-latency streams gain.
+BACKLOG_TOKENS = 8000.0
+# How often the number of reserved engines is adjusted, and the time constant
+# of the average that it follows: long prompts that move to another engine are
+# prefilled again there.
+RESIZE_INTERVAL_SECONDS = 0.5
+RESIZE_AVERAGING_SECONDS = 3.0
+# Routes whose longest allowed gap is within this factor of the shortest one
+# of the service count as low-latency.
+LOW_LATENCY_FACTOR = 1.25
 # What one running request adds to the cost of an engine, in prompt tokens:
-# its share in the time of a step, over a second or so.
+# its share of the time of a batch step, over about a second.
 TOKENS_PER_RUNNING = 150.0
-# What an engine that always fails would cost beyond its load: more than any
-# prompt, so that it gets next to nothing.
+# The cost of an engine that always fails, beyond its load: more than that of
+# any prompt, so that it gets next to no requests.
 TOKENS_PER_FAILURE = 20_000.0
-# Long prompts that share a part choose among so many engines, the first two
-# in the order of a hash.  With all engines to choose from, many instances that
-# hear of one another's work late send each part to whichever engine seemed
-# idle last, and all engines read the same parts again
-# (``tests.common.prompt_world`` plays it).
-HOMES = 2
-# An engine that lacks shared parts counts as having so many times their
-# tokens to do.  It is taken where the one that holds them is more than a
-# second of reading behind: less, and both soon hold and read the same.
-ANEW_FACTOR = 10.0
-# What one place further in the order of the hash costs, so that instances
-# that know of no holder yet agree on one.
-PLACE_TOKENS = 300.0
-# What it costs a close stream to leave the engines kept for it: the prompts
-# of eight others.
-LEAVE_TOKENS = 12_000.0
-# What the way to another failure domain costs, in prompt tokens: 20 to 60 ms
-# of an engine's reading, so that it decides between engines that have about
-# as much to do.  The bytes of answers between domains are dear, and a cut
-# that comes between takes the answer.
-AWAY_TOKENS = 3_000.0
-# What it costs to be sent to an engine whose slots are all taken: as much as
-# to leave the engines kept for close streams, and a step more for each
-# request that waits there before.  Made for a burst of close streams, which
-# fill the engines kept for them while the others have half of their slots
-# free.
-FULL_TOKENS = 12_000.0
+# Long prompts with a common prefix choose among this many engines, the first
+# ones in rendezvous order.  If they chose among all, many instances that
+# learn of each other's work late would send each prefix to whichever engine
+# seemed idle last, and all engines would prefill the same prefixes
+# (simulated in ``tests.common.prompt_world``).
+CANDIDATES_PER_PREFIX = 2
+# A missing shared prefix adds this many times its tokens to the cost of an
+# engine.  Such an engine is taken where the one that has the prefix is more
+# than a second of prefill behind; with a smaller factor both soon prefill and
+# cache the same prefixes.
+MISSING_PREFIX_FACTOR = 10.0
+# The cost of each further position in rendezvous order, so that instances
+# that know of no engine with the prefix yet agree on one.
+RANK_STEP_TOKENS = 300.0
+# The cost for a low-latency stream to go to an engine that is not reserved:
+# the prompts of eight others.
+UNRESERVED_TOKENS = 12_000.0
+# The cost of another failure domain, in prompt tokens: 20 to 60 ms of an
+# engine's prefill, so that it decides between engines of about the same load.
+# Traffic of answers between domains is expensive, and a partition between
+# them loses the answer.
+REMOTE_DOMAIN_TOKENS = 3_000.0
+# The cost of an engine whose slots are all taken: as much as that of an
+# engine that is not reserved, and another step for each request that waits
+# there already.  Guards against bursts of low-latency streams, which would
+# fill the reserved engines while the others have half of their slots free.
+FULL_ENGINE_TOKENS = 12_000.0
 TOKENS_PER_WAITING = 1_000.0
 
 
-def full_cost(running, slots):
-    """Return what the wait for a slot costs, in prompt tokens."""
+def slot_wait_cost(running, slots):
+    """Return the cost of waiting for a free slot, in prompt tokens."""
     waiting = running + 1 - slots
     if waiting <= 0:
         return 0.0
-    return FULL_TOKENS + waiting * TOKENS_PER_WAITING
+    return FULL_ENGINE_TOKENS + waiting * TOKENS_PER_WAITING
 
 
-def rank(key, names):
-    """Return ``names`` in the order in which they take work for ``key``.
+def rendezvous_order(key, names):
+    """Return ``names`` ordered by rendezvous (highest random weight) hashing.
 
-    A name more or less moves only the keys that it is first for (Thaler and
-    Ravishankar, "Using name-based mappings to increase hit rates", 1998).
+    Adding or removing a name moves only the keys for which it comes first
+    (Thaler and Ravishankar, "Using name-based mappings to increase hit
+    rates", 1998).
     """
 
     def weight(name):
@@ -97,23 +102,26 @@
     return sorted(names, key=weight)
 
 
-def shared_key(parts):
-    """Return what the prompts that share most have in common, or ''."""
+def affinity_key(parts):
+    """Return the name of the longest shared prefix of a prompt, or ''.
+
+    The last part is the request's own, the one before it the last shared one.
+    """
     if len(parts) < 2:
         return ""
     return parts[-2][0]
 
 
-class Groups:
-    """Divides the engines of one service between close and other streams.
+class EngineGroups:
+    """Divides the engines of a service into reserved and general ones.
 
-    >>> groups = Groups()
-    >>> groups.follow("s", [f"e{number}" for number in range(20)])
-    >>> len(groups.members(close=False))
+    >>> groups = EngineGroups()
+    >>> groups.set_engines("s", [f"e{number}" for number in range(20)])
+    >>> len(groups.members(low_latency=False))
     16
     >>> for second in range(60):
     ...     groups.resize(lambda name: 40, lambda name: 0, 64, float(second))
-    >>> len(groups.members(close=False))
+    >>> len(groups.members(low_latency=False))
     10
     """
 
@@ -130,93 +138,101 @@
     def __init__(self):
         self._names = None
         self._order = []
+        # The names of the reserved engines, and how many there should be.
         self._kept = frozenset()
         self._count = None
+        # Running requests at the reserved engines, as a moving average.
         self._under_way = None
         self._next_resize = 0.0
         self._ranks = {}
 
-    def follow(self, service, names):
-        """Take note of the engines there are."""
+    def set_engines(self, service, names):
+        """Set the engines of the service; ``names`` must be sorted."""
         if names == self._names:
             return
         self._names = names
-        self._order = rank(service, names)
+        self._order = rendezvous_order(service, names)
         if self._count is None and len(names) > 1:
-            self._count = self._usual()
-        self._divide()
+            self._count = self._usual_count()
+        self._assign()
 
-    def _divide(self):
-        kept = 0
+    def _assign(self):
+        reserved = 0
         if len(self._order) > 1:
-            kept = min(self._count, self._most())
-        self._kept = frozenset(self._order[:kept])
+            reserved = min(self._count, self._max_count())
+        self._kept = frozenset(self._order[:reserved])
         self._ranks = {}
 
     def resize(self, running, unread, slots, now):
-        """Keep as many engines as the close streams under way need.
+        """Reserve as many engines as the running low-latency streams need.
 
-        ``running`` and ``unread`` tell how many requests an engine has, and
-        how many prompt tokens to read, by its name; ``slots`` is how many
-        requests it may run.  More engines are kept at once, down to the
-        usual part they are given back one after the other.
+        ``running(name)`` and ``unread(name)`` return how many requests an
+        engine has and how many prompt tokens it has yet to prefill; ``slots``
+        is how many requests an engine may run.  The number grows at once and
+        shrinks by one engine at a time, down to the usual fraction.
         """
         if now < self._next_resize or not self._kept:
             return
-        self._next_resize = now + RESIZE_INTERVAL
+        self._next_resize = now + RESIZE_INTERVAL_SECONDS
         count = len(self._kept)
-        room = slots * CLOSE_SLOTS_PART
+        capacity = slots * RESERVED_SLOTS_FRACTION
         if self._under_way is None:
-            self._under_way = count * room
-        under_way = sum(running(name) for name in self._kept)
-        weight = RESIZE_INTERVAL / RESIZE_SECONDS
-        self._under_way += weight * (under_way - self._under_way)
-        if self._under_way > count * room:
-            if not self._pressed(unread):
-                self._count = math.ceil(self._under_way / room)
-        elif self._under_way < (count - 1) * room * GIVE_BACK_PART:
+            self._under_way = count * capacity
+        total_running = sum(running(name) for name in self._kept)
+        weight = RESIZE_INTERVAL_SECONDS / RESIZE_AVERAGING_SECONDS
+        self._under_way += weight * (total_running - self._under_way)
+        if self._under_way > count * capacity:
+            if not self._has_backlog(unread):
+                self._count = math.ceil(self._under_way / capacity)
+        elif self._under_way < (count - 1) * capacity * RELEASE_FRACTION:
             self._count = count - 1
-        self._count = min(max(self._count, self._usual()), self._most())
+        self._count = min(
+            max(self._count, self._usual_count()), self._max_count()
+        )
         if self._count != count:
-            self._divide()
+            self._assign()
 
-    def _usual(self):
-        return max(1, round(len(self._order) * CLOSE_PART))
+    def _usual_count(self):
+        return max(1, round(len(self._order) * USUAL_RESERVED_FRACTION))
 
-    def _most(self):
-        return max(1, int(len(self._order) * MOST_CLOSE_PART))
+    def _max_count(self):
+        return max(1, int(len(self._order) * MAX_RESERVED_FRACTION))
 
-    def _pressed(self, unread):
-        """Tell whether the engines of long prompts have much to read."""
-        others = self.members(close=False)
-        to_read = sum(unread(name) for name in others)
-        return to_read > PRESSED_TOKENS * len(others)
+    def _has_backlog(self, unread):
+        """Return whether the general engines have many tokens to prefill."""
+        general = self.members(low_latency=False)
+        unread_total = sum(unread(name) for name in general)
+        return unread_total > BACKLOG_TOKENS * len(general)
 
-    def members(self, close):
-        """Return the engines of a group.
+    def members(self, low_latency):
+        """Return the engines that a kind of stream may use.
 
-        Close streams may go to all engines: their cost leads them to their
-        own part while it has room.
+        Low-latency streams may use all engines: the cost of the general ones
+        keeps them on the reserved engines while those have room.
         """
-        if close:
+        if low_latency:
             return self._order
         return [name for name in self._order if name not in self._kept]
 
-    def is_kept(self, name):
-        """Tell whether an engine is kept for close streams."""
+    def is_reserved(self, name):
+        """Return whether an engine is reserved for low-latency streams."""
         return name in self._kept
 
-    def ranked(self, key, close):
-        """Return the engines of a group in the order for ``key``."""
-        held = self._ranks.get((key, close))
-        if held is None:
-            held = rank(key, self.members(close))
+    def ranked(self, key, low_latency):
+        """Return the engines for a kind of stream, in the order of ``key``."""
+        ranked = self._ranks.get((key, low_latency))
+        if ranked is None:
+            ranked = rendezvous_order(key, self.members(low_latency))
             if len(self._ranks) > 4096:
                 self._ranks.clear()
-            self._ranks[(key, close)] = held
-        return held
+            self._ranks[(key, low_latency)] = ranked
+        return ranked
 
 
-def is_close(pause, shortest):
-    """Tell whether a stream with ``pause`` is among the closest."""
-    return 0 < pause <= shortest * CLOSE_FACTOR
+def is_low_latency(gap, shortest_gap):
+    """Return whether a target for the gap between events is a tight one.
+
+    It is compared with the shortest target of the service; 0 means that the
+    stream has none.
+    """
+    return 0 < gap <= shortest_gap * LOW_LATENCY_FACTOR
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/domain_reach.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/domain_reach.py
@@ -1,31 +1,36 @@
-"""Whether a whole failure domain is cut off from this instance.
-
-Made for the minutes in which a failure domain is partitioned from the
-others.  Its servers look idle from outside, so each request that is placed
-finds one of them out at the cost of a connection that never comes about, and
-each server is tried again by itself.  A cut is an event of the domain: once
-its instances are silent and a server there cannot be reached, or two of its
-servers cannot, none of its servers gets new work while others can.
-
-A request that is sent over a connection that is kept finds out nothing: it
-is lost without a word.  So the silence of the instances counts by itself,
-for a while, from a few tenths of a second on.
+"""Detects that a whole failure domain is partitioned from this instance.
+
+Seen from outside, the servers of a partitioned failure domain look idle, so
+requests would be sent to each of them, wait for a connection that is never
+established, and each server would be probed by itself.  A partition is an
+event of the domain: once the instances of a domain are silent and a server
+there cannot be reached, or two of its servers cannot, none of its servers
+gets new work while other domains have usable servers.
+
+A request that is sent over a kept-alive connection detects nothing: it is
+lost without an error.  So silence of the domain's instances also counts by
+itself, for a while, from a few tenths of a second on.
 """
 
-# A domain counts as cut off for so long after the last sign of it; then one
-# request may try again.  Cuts last seconds; a wrong verdict costs this long
-# of the domain's servers, whose work others take meanwhile.
-SUSPECTED_SECONDS = 3.0
-# So many servers out of reach, with none reached in between, are taken for a
-# cut without the silence of instances, which not everybody hears.
-MANY_SERVERS = 2
-# Failures further apart than this have nothing to do with one another.
-TOGETHER_SECONDS = 2.0
+# How long a domain counts as partitioned after the last evidence; then one
+# request may try it again.  Partitions last seconds; a wrong verdict costs
+# the domain's servers for this long, while others take over their work.
+SUSPICION_SECONDS = 3.0
+# This many unreachable servers, with none reached in between, are taken for a
+# partition without the silence of instances, which not every instance hears
+# directly.
+MIN_UNREACHABLE_SERVERS = 2
+# Failures further apart than this are not taken for one event.
+CORRELATION_SECONDS = 2.0
 NEVER = float("-inf")
 
 
-class _Signs:
-    """What was seen of one domain."""
+class _Evidence:
+    """The evidence for a partition of one domain.
+
+    The domain is suspected until ``until``; ``servers`` could not be reached,
+    the last of them at ``since``.
+    """
 
     __slots__ = ("until", "servers", "since")
 
@@ -35,10 +40,11 @@
         self.since = NEVER
 
 
-class DomainReach:
-    """Judges by failed attempts and by what is heard of instances.
+class DomainReachability:
+    """Judges domains by failed connections and by the silence of instances.
 
-    ``view`` (:class:`.view.ClusterView`) tells what is heard of them.
+    ``own`` is the failure domain of this instance, which is never suspected;
+    ``view`` (:class:`.view.ClusterView`) tells when instances were heard.
     """
 
     def __init__(self, own, view):
@@ -46,41 +52,41 @@
         self._view = view
         self._domains = {}
 
-    def unreachable(self, domain, server, began, now):
-        """Take in that no connection came about, tried since ``began``.
+    def record_unreachable(self, domain, server, attempted_at, now):
+        """Record that a connection attempted at ``attempted_at`` failed.
 
-        Returns whether the domain counts as cut off from now on, and did
+        Returns whether the domain counts as partitioned from now on and did
         not before.
         """
         if domain == self._own:
             return False
-        signs = self._domains.setdefault(domain, _Signs())
-        if now - signs.since > TOGETHER_SECONDS:
-            signs.servers.clear()
-        signs.since = now
-        signs.servers.add(server)
+        evidence = self._domains.setdefault(domain, _Evidence())
+        if now - evidence.since > CORRELATION_SECONDS:
+            evidence.servers.clear()
+        evidence.since = now
+        evidence.servers.add(server)
         heard = self._view.heard_from(domain)
-        silent = heard is not None and heard < began
-        if not silent and len(signs.servers) < MANY_SERVERS:
+        silent = heard is not None and heard < attempted_at
+        if not silent and len(evidence.servers) < MIN_UNREACHABLE_SERVERS:
             return False
-        before = now < signs.until
-        signs.until = now + SUSPECTED_SECONDS
-        return not before
+        was_suspected = now < evidence.until
+        evidence.until = now + SUSPICION_SECONDS
+        return not was_suspected
 
-    def reached(self, domain):
-        """Take in that a server of the domain answered."""
+    def record_reached(self, domain):
+        """Record that a server of the domain answered."""
         self._domains.pop(domain, None)
 
-    def is_cut(self, domain, now):
-        """Tell whether servers of the domain should get no new work."""
+    def is_partitioned(self, domain, now):
+        """Return whether servers of the domain should get no new work."""
         if domain != self._own and self._view.has_fallen_silent(domain, now):
             return True
-        signs = self._domains.get(domain)
-        if signs is None or now >= signs.until:
+        evidence = self._domains.get(domain)
+        if evidence is None or now >= evidence.until:
             return False
         heard = self._view.heard_from(domain)
-        if heard is not None and heard > signs.since:
-            # An instance there is heard again: the cut is over.
+        if heard is not None and heard > evidence.since:
+            # An instance there is heard again: the partition has healed.
             del self._domains[domain]
             return False
         return True
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/engine_choice.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/engine_choice.py
@@ -1,10 +1,11 @@
-"""Which model engine gets a request, and whether it has room for it.
-
-A model engine reads prompts in between the tokens of all its streams.  An
-engine that always has a prompt to read makes one token in the time of
-fifteen, so streams last ten times as long, run into their time limits, and
-what was read for them is lost.  So a long prompt goes to an engine that has
-next to nothing to read, by the parts that it may hold (:mod:`.affinity`).
+"""Chooses a model engine for a request and tells whether it has room.
+
+A model engine prefills prompts in between the decoding steps of its streams.
+An engine that always has a prompt to prefill makes one token in the time of
+fifteen, so its streams last ten times as long and exceed their deadlines, and
+the prefill work spent on them is wasted.  So a long prompt waits for an engine
+that has next to nothing left to prefill, chosen by the prefixes that it
+probably has cached (:mod:`.affinity`).
 """
 
 import collections
@@ -13,37 +14,38 @@
 
 from . import affinity
 
-# An engine gets a further long prompt once it has fewer tokens than this to
-# read, itself included: two steps of reading, so that between two prompts
-# its streams go on at their own pace.
-UNREAD_LIMIT = 16000.0
-# A prompt with more tokens of its own is large.  While one waits, smaller ones
-# of its urgency find room only where it does too, at an engine with so many
-# tokens to read at the most: by the limit above they would fill each engine
-# before it has as little to read as the large one waits for.
-LARGE_PROMPT = 6000.0
-EVEN_LIMIT = 1000.0
-# An engine may then have so many more for each step that a prompt is more
-# urgent.
-EVEN_STEP = 24_000.0
-# Prompts below this are no burden: less than half a step of reading.
-SHORT_PROMPT = 2000.0
-
-
-class Chosen(msgspec.Struct, frozen=True):
-    """An engine and what it would have to read, in prompt tokens."""
+# An engine gets a further long prompt while it has fewer tokens than this to
+# prefill, the new prompt included: two prefill steps, so that its streams
+# decode at their usual rate between two prompts.
+MAX_UNREAD_TOKENS = 16000.0
+# A prompt with more tokens of its own than the first figure is large.  While
+# one waits, smaller prompts of the same urgency may go only to engines that
+# have at most the second figure to prefill, as the large one must.  Under the
+# limit above, small prompts would fill each engine again before it becomes
+# idle enough for the large one.
+LARGE_PROMPT_TOKENS = 6000.0
+MAX_UNREAD_TOKENS_LARGE = 1000.0
+# With a large prompt waiting, the limit rises by this for each priority step
+# that a prompt is more urgent.
+UNREAD_TOKENS_PER_STEP = 24_000.0
+# Prompts up to this length are no burden: less than half a prefill step.
+SHORT_PROMPT_TOKENS = 2000.0
+
+
+class ChosenEngine(msgspec.Struct, frozen=True):
+    """An engine, and the prompt tokens that it would have to prefill."""
 
     name: str
     need: int
 
 
-class _Field:
-    """The engines that are weighed in one round, and what each has to do.
+class _RoundCache:
+    """The engines of one scheduling round, with their cached costs.
 
-    A round decides about all that waits, before the same engines.  What is
-    alike for each piece of work is found out once: together with leaving
-    out the engines that cannot win this takes a third off the 1 ms of
-    processor time that it takes to decide about a request among 56 engines.
+    A round decides about all queued work against the same engines, so what
+    does not depend on the request is computed once.  Together with skipping
+    the engines that cannot win, this saves a third of the 1 ms of processor
+    time that a decision among 56 engines takes.
     """
 
     __slots__ = ("usable", "groups", "costs")
@@ -55,123 +57,134 @@
 
 
 class EngineChoice:
-    """Weighs what engines hold against what they have to do.
+    """Weighs cached prefixes against load, both in prompt tokens.
 
-    All is in prompt tokens, which stand for an engine's time.  ``table`` is
-    the :class:`.server_table.ServerTable`, ``domain`` the own failure domain.
+    Prompt tokens stand for an engine's time.  ``table`` is the
+    :class:`.server_table.ServerTable`, ``domain`` the failure domain of this
+    instance.
     """
 
     def __init__(self, table, domain):
         self._table = table
         self._domain = domain
-        self._groups = collections.defaultdict(affinity.Groups)
-        self._field = _Field(None, None)
-        self._large_wait = frozenset()
+        self._groups = collections.defaultdict(affinity.EngineGroups)
+        self._round = _RoundCache(None, None)
+        self._large_waiting = frozenset()
 
-    def waiting(self, queued):
-        """Take note of all that waits: at which urgencies there are large."""
-        self._large_wait = {
+    def note_queue(self, queued):
+        """Record for which services and priorities large prompts wait."""
+        self._large_waiting = {
             (work.service, work.route_priority)
             for work in queued
-            if work.parts and work.parts[-1][1] > LARGE_PROMPT
+            if work.parts and work.parts[-1][1] > LARGE_PROMPT_TOKENS
         }
 
-    def placed(self, name):
-        """Take note that an engine has got more to do."""
-        self._field.costs.pop(name, None)
+    def note_placed(self, name):
+        """Drop the cached cost of an engine that has got another request."""
+        self._round.costs.pop(name, None)
 
     def choose(self, work, traits, servers, usable, now):
-        """Return the best of the ``usable`` engines as :class:`Chosen`.
+        """Return the cheapest of the ``usable`` engines.
 
-        ``servers`` are all of the service.  Long prompts have a few engines
-        to choose from, the same for all that share a part.
+        ``servers`` are all servers of the service, ``usable`` maps the names
+        of those that may take the work.  Long prompts have a few candidates,
+        the same for all prompts with the same shared prefix; an engine
+        further back is taken only where it has the whole prefix cached.
         """
-        field = self._field_of(work.service, servers, usable, now)
-        groups = field.groups
-        close = _is_close(work, traits)
-        key = affinity.shared_key(work.parts)
-        ranked = [name for name in groups.ranked(key, close) if name in usable]
+        cached_round = self._round_for(work.service, servers, usable, now)
+        groups = cached_round.groups
+        low_latency = _is_low_latency(work, traits)
+        key = affinity.affinity_key(work.parts)
+        ranked = [
+            name for name in groups.ranked(key, low_latency) if name in usable
+        ]
         if not ranked:
-            ranked = affinity.rank(key, usable)
+            ranked = affinity.rendezvous_order(key, usable)
         shared = work.parts[:-1]
         own = work.parts[-1][1]
         best = None
-        for place, name in enumerate(ranked):
-            least = own + place * affinity.PLACE_TOKENS
-            if best is not None and best[0] <= least:
-                # No engine from here on can be better.
+        for position, name in enumerate(ranked):
+            min_cost = own + position * affinity.RANK_STEP_TOKENS
+            if best is not None and best[0] <= min_cost:
+                # No engine from here on can be cheaper.
                 break
             cache = self._table.server(name).cache
-            must_hold = not close and place >= affinity.HOMES
+            must_hold = (
+                not low_latency and position >= affinity.CANDIDATES_PER_PREFIX
+            )
             if must_hold and shared and shared[-1][0] not in cache:
-                # The part that fewest engines hold, asked for first.
+                # Checked first because the fewest engines have the last part.
                 continue
-            missing = cache.missing(shared)
+            missing = cache.missing_tokens(shared)
             if must_hold and missing:
                 continue
             cost = (
-                self._cost_in(field, name)
-                + least
-                + missing * (1.0 + affinity.ANEW_FACTOR)
+                self._cached_cost(cached_round, name)
+                + min_cost
+                + missing * (1.0 + affinity.MISSING_PREFIX_FACTOR)
             )
-            if close and not groups.is_kept(name):
-                cost += affinity.LEAVE_TOKENS
+            if low_latency and not groups.is_reserved(name):
+                cost += affinity.UNRESERVED_TOKENS
             if best is None or cost < best[0]:
-                best = (cost, Chosen(name, own + missing))
+                best = (cost, ChosenEngine(name, own + missing))
         return best[1]
 
-    def _field_of(self, service, servers, usable, now):
-        """Return the field for ``usable``, the same object within a round."""
-        if self._field.usable is not usable:
+    def _round_for(self, service, servers, usable, now):
+        """Return the cache of the round, which has one ``usable`` object."""
+        if self._round.usable is not usable:
             groups = self._groups[service]
             names = sorted(
-                item.announcement.backend_server for item in servers
+                server.announcement.backend_server for server in servers
             )
-            groups.follow(service, names)
+            groups.set_engines(service, names)
             slots = servers[0].announcement.slots
             table = self._table
             groups.resize(table.running, table.unread, slots, now)
-            self._field = _Field(usable, groups)
-        return self._field
+            self._round = _RoundCache(usable, groups)
+        return self._round
 
-    def _cost_in(self, field, name):
-        cost = field.costs.get(name)
+    def _cached_cost(self, cached_round, name):
+        cost = cached_round.costs.get(name)
         if cost is None:
-            cost = self._cost(name, field.usable[name].announcement)
-            field.costs[name] = cost
+            cost = self._cost(name, cached_round.usable[name].announcement)
+            cached_round.costs[name] = cost
         return cost
 
     def _cost(self, name, announcement):
-        """Return how much an engine has to do, and the way to it."""
+        """Return the cost of an engine that holds for any request.
+
+        It covers load, the wait for a slot, failures and the distance.
+        """
         running = self._table.running(name)
         health = self._table.server(name).health
-        away = announcement.failure_domain != self._domain
+        is_remote = announcement.failure_domain != self._domain
         return (
             self._table.unread(name)
             + running * affinity.TOKENS_PER_RUNNING
-            + affinity.full_cost(running, announcement.slots)
+            + affinity.slot_wait_cost(running, announcement.slots)
             + health.failure_share * affinity.TOKENS_PER_FAILURE
-            + away * affinity.AWAY_TOKENS
+            + is_remote * affinity.REMOTE_DOMAIN_TOKENS
         )
 
     def has_room(self, work, traits, chosen):
-        """Tell whether an engine may be given so much more to read.
+        """Return whether an engine may be given this much more to prefill.
 
-        Made for bursts in which prompts of very unlike sizes wait for the
-        same engines: no size may be starved by another.  Engines read what
-        is more urgent first.  What they have to read of less urgent prompts
-        does not hold up a more urgent one, which may therefore find more of
-        it there.
+        Guards against starvation in bursts in which prompts of very different
+        sizes wait for the same engines.  Engines prefill more urgent prompts
+        first, so what they have left to prefill of less urgent ones does not
+        delay a more urgent one, and the limit rises with its urgency.
         """
         unread = self._table.unread(chosen.name)
-        if chosen.need <= SHORT_PROMPT or unread <= 0:
+        if chosen.need <= SHORT_PROMPT_TOKENS or unread <= 0:
             return True
-        steps = max(0, traits.least_urgent - work.route_priority)
-        if (work.service, work.route_priority) in self._large_wait:
-            return unread <= EVEN_LIMIT + steps * EVEN_STEP
-        return unread + chosen.need <= UNREAD_LIMIT * (1 + steps)
+        steps = max(0, traits.least_urgent_step - work.route_priority)
+        if (work.service, work.route_priority) in self._large_waiting:
+            return unread <= (
+                MAX_UNREAD_TOKENS_LARGE + steps * UNREAD_TOKENS_PER_STEP
+            )
+        return unread + chosen.need <= MAX_UNREAD_TOKENS * (1 + steps)
 
 
-def _is_close(work, traits):
-    pause = (work.between_tokens_ms or 0.0) / 1000.0
-    return affinity.is_close(pause, traits.shortest_pause)
+def _is_low_latency(work, traits):
+    gap = (work.between_tokens_ms or 0.0) / 1000.0
+    return affinity.is_low_latency(gap, traits.shortest_gap_seconds)
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/placing_pace.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/placing_pace.py
@@ -1,42 +1,42 @@
-"""How fast an instance gets work placed, to tell how long a queue takes."""
+"""Estimates how long a queue takes from the recent rate of placements."""
 
 import collections
 
-# Placements of so many seconds count: long enough for a few at the pace of
-# a busy instance, short enough to follow a burst.
-WINDOW = 3.0
-# A queue that has just begun has shown no pace yet; for so long none is
-# concluded from a lack of placements.
-LEAST_WATCHED = 1.0
+# Placements within this time count: long enough for a few at the rate of a
+# busy instance, short enough to follow a burst.
+WINDOW_SECONDS = 3.0
+# No rate is derived before the oldest placement in the window is this old: a
+# queue that has just begun has shown no rate yet.
+MIN_OBSERVED_SECONDS = 1.0
 
 
-class PlacingPace:
-    """Counts the prompt tokens placed at each service.
+class PlacementRate:
+    """The prompt tokens placed per second, by service.
 
-    >>> pace = PlacingPace()
+    >>> rate = PlacementRate()
     >>> for at in range(4):
-    ...     pace.placed("s", 300, float(at))
-    >>> pace.seconds("s", 900, 3.0)
+    ...     rate.record("s", 300, float(at))
+    >>> rate.estimate_seconds("s", 900, 3.0)
     3.0
     """
 
     def __init__(self):
         self._placed = collections.defaultdict(collections.deque)
 
-    def placed(self, service, tokens, now):
-        """Take note that work of so many tokens was placed."""
+    def record(self, service, tokens, now):
+        """Record that work with ``tokens`` prompt tokens was placed."""
         self._placed[service].append((now, tokens))
 
-    def seconds(self, service, tokens, now):
-        """Return how long it takes to place so many tokens, or 0.
+    def estimate_seconds(self, service, tokens, now):
+        """Return how long it takes to place ``tokens`` prompt tokens.
 
-        Without a few placements lately nothing is known, and nothing is
-        refused for it.
+        Without enough recent placements the rate is unknown, and 0.0 is
+        returned, so that no work is refused for it.
         """
-        held = self._placed[service]
-        while held and held[0][0] < now - WINDOW:
-            held.popleft()
-        if len(held) < 2 or now - held[0][0] < LEAST_WATCHED:
+        recent = self._placed[service]
+        while recent and recent[0][0] < now - WINDOW_SECONDS:
+            recent.popleft()
+        if len(recent) < 2 or now - recent[0][0] < MIN_OBSERVED_SECONDS:
             return 0.0
-        total = sum(count for _, count in held)
-        return tokens * (now - held[0][0]) / total
+        total = sum(count for _, count in recent)
+        return tokens * (now - recent[0][0]) / total
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/plain_choice.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/plain_choice.py
@@ -1,24 +1,29 @@
-"""Which plain server gets a request."""
+"""Chooses a plain server, one that is not a model engine, for a request."""
 
-# In parts of all slots: what the way to another failure domain costs, so that
-# its servers take over once the own are a third busy, and a draw between
-# equals, without which all instances would choose alike.
-AWAY_COST = 0.3
-DRAW_COST = 0.01
+# Costs as fractions of a server's slots.  With the first, servers of another
+# failure domain are used once those of the own one are about a third busy.
+# The second is the range of a random tie-break, without which all instances
+# would choose the same server.
+REMOTE_DOMAIN_COST = 0.3
+TIE_BREAK_COST = 0.01
 
 
 def choose(usable, table, domain, rng):
-    """Prefer the own failure domain and the servers that fail least."""
+    """Return the name of the cheapest of the ``usable`` servers.
+
+    The cost adds up load, the share of failures, and the distance to another
+    failure domain than ``domain``.
+    """
 
     def cost(name):
         announcement = usable[name].announcement
         load = table.running(name) / max(1, announcement.slots)
-        away = announcement.failure_domain != domain
+        is_remote = announcement.failure_domain != domain
         return (
             load
-            + AWAY_COST * away
+            + REMOTE_DOMAIN_COST * is_remote
             + table.server(name).health.failure_share
-            + DRAW_COST * rng.random()
+            + TIE_BREAK_COST * rng.random()
         )
 
     return min(usable, key=cost)
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/prompt_cache.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/prompt_cache.py
@@ -1,24 +1,28 @@
-"""What an engine probably still holds of the prompts that it has read."""
+"""An estimate of which prompt prefixes an engine still has cached."""
 
 import collections
 
-# The part of an engine's memory that finished prompts share with those of
-# running requests: they yield to these, so not all of it counts.
-KEPT_PART = 0.7
+# The fraction of an engine's KV cache that counts as available for the
+# prefixes of finished prompts: running requests evict them.
+CACHED_FRACTION = 0.7
 
 
 class PromptCache:
-    """Parts in the order of their last use; the oldest yield."""
+    """A least-recently-used model of an engine's prefix cache.
+
+    Entries are the parts of prompts, as ``(name, tokens)``; ``kv_tokens`` is
+    how many tokens the engine has memory for.
+    """
 
     __slots__ = ("_parts", "_tokens", "_room")
 
     def __init__(self, kv_tokens):
         self._parts = collections.OrderedDict()
         self._tokens = 0
-        self._room = kv_tokens * KEPT_PART
+        self._room = kv_tokens * CACHED_FRACTION
 
-    def read(self, parts):
-        """Take note that the engine reads ``parts``."""
+    def record(self, parts):
+        """Record that the engine prefills or reuses ``parts``."""
         for name, tokens in parts:
             if name in self._parts:
                 self._parts.move_to_end(name)
@@ -29,16 +33,16 @@
             _, tokens = self._parts.popitem(last=False)
             self._tokens -= tokens
 
-    def missing(self, parts):
-        """Return how many tokens of ``parts`` it would have to read.
+    def missing_tokens(self, parts):
+        """Return how many tokens of ``parts`` would have to be prefilled.
 
-        A part is of use only where all before it are held too.
+        A cached part is of use only where all parts before it are cached too.
         """
-        for place, (name, _) in enumerate(parts):
+        for index, (name, _) in enumerate(parts):
             if name not in self._parts:
-                return sum(tokens for _, tokens in parts[place:])
+                return sum(tokens for _, tokens in parts[index:])
         return 0
 
     def __contains__(self, name):
-        """Tell whether a part is held, whatever is held before it."""
+        """Return whether a part is cached, whatever comes before it."""
         return name in self._parts
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/read_news.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/read_news.py
@@ -1,47 +1,56 @@
-"""Which prompt parts went to which engine, as the others are told."""
+"""Announces to the other instances which prefixes went to which engine."""
 
 from ..coordination import server_loads
 
-# That a part is still in use where all know it to be is said this often, by
-# whichever instance is the first to use it then.  A part in use is pushed out
-# later than that; said at each use, it was half of what a relay's link of
-# 5 Mbit/s carries at 90 instances.
-RETELL_SECONDS = 10.0
-MOST_TOLD = 10_000
+# The use of a prefix that all instances know an engine to have is announced
+# again after this long, by the first instance that uses it then; engines
+# evict a prefix in use later than that.  Announced at each use, it took half
+# of a relay's 5 Mbit/s link with 90 instances.
+REANNOUNCE_SECONDS = 10.0
+MAX_ANNOUNCED = 10_000
 NEVER = float("-inf")
 
 
-class ReadNews:
-    """Notes what engines read, and gathers what of it is news to others."""
+class PrefixAnnouncements:
+    """Records which engine got which prefix, and what of it to announce."""
 
     __slots__ = ("_table", "_news", "_told")
 
     def __init__(self, table):
         self._table = table
         self._news = []
+        # When a prefix at a server was last announced by any instance, by
+        # (server, name of the last shared part).
         self._told = {}
 
     def take(self):
-        """Return what was sent to engines since the last call."""
-        news, self._news = self._news, []
-        return news
-
-    def heard(self, reads, now):
-        """Take in what the others sent to engines; all know it by now."""
-        for item in reads:
-            self._table.server(item.server).cache.read(item.parts)
-            if item.parts:
-                self._told[(item.server, item.parts[-1][0])] = now
-
-    def sent(self, name, shared, now):
-        """Take note that an engine reads the parts ``shared`` with others."""
+        """Return the announcements (``Read``) since the last call."""
+        reads, self._news = self._news, []
+        return reads
+
+    def receive(self, reads, now):
+        """Record announcements of other instances, which all have heard."""
+        for read in reads:
+            self._table.server(read.server).cache.record(read.parts)
+            if read.parts:
+                self._told[(read.server, read.parts[-1][0])] = now
+
+    def record_sent(self, name, shared, now):
+        """Record that the ``shared`` parts of a prompt go to an engine.
+
+        They are announced if the engine was not known to have all of them,
+        or if the last announcement is old.
+        """
         cache = self._table.server(name).cache
-        news = cache.missing(shared) > 0
-        cache.read(shared)
+        is_new = cache.missing_tokens(shared) > 0
+        cache.record(shared)
         key = (name, shared[-1][0])
-        if not news and now - self._told.get(key, NEVER) < RETELL_SECONDS:
+        if (
+            not is_new
+            and now - self._told.get(key, NEVER) < REANNOUNCE_SECONDS
+        ):
             return
-        if len(self._told) > MOST_TOLD:
+        if len(self._told) > MAX_ANNOUNCED:
             self._told.clear()
         self._told[key] = now
         self._news.append(server_loads.Read(name, shared))
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/server_health.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/server_health.py
@@ -1,72 +1,83 @@
-"""What an instance's own attempts say about each backend server.
+"""The health of backend servers as shown by an instance's own attempts.
 
-Nobody reports load or health here; an attempt that fails is the first sign
-of a crash, a cut or a server that answers with errors while its health
-check is good.  What is learnt decides only where the next request goes:
-a server that fails is tried again soon, with one request at a time.
+Servers report neither load nor health here.  A failed attempt is the first
+sign of a crash, of a network partition, or of a server that answers requests
+with errors while its health check passes.  Health decides only where the next
+request goes: a server that failed is soon probed, by one request at a time.
 """
 
 import msgspec
 
-# A server that could not be reached is left alone for so long, twice as long
-# after each further failure, up to the second figure: a restart takes one to
-# some seconds, and a probe with a live request costs its caller little.
-FIRST_PAUSE = 0.5
-LONGEST_PAUSE = 4.0
-# While a server that could not be reached is tried again, the others wait for
-# what that one request finds: a connection comes about within this, or not.
+# A server that could not be reached gets no requests for the first figure,
+# twice as long after each further failure, up to the second: a restart takes
+# from one to several seconds, and a probe with a live request costs its
+# caller little.
+INITIAL_BACKOFF_SECONDS = 0.5
+MAX_BACKOFF_SECONDS = 4.0
+# While one request probes an unreachable server, the others avoid it for this
+# long: a connection is established within it, or not at all.
 PROBE_SECONDS = 0.5
-# A server that says that it is full is left alone this long: a request at it
-# ends every few tens of milliseconds.
-FULL_PAUSE = 0.15
+# A server that refused a request because it is full gets none for this long:
+# one of its requests ends every few tens of milliseconds.
+FULL_BACKOFF_SECONDS = 0.15
 # Weight of the newest answer in the share of failures.
 FAILURE_WEIGHT = 0.15
 
 
 class Health(msgspec.Struct):
-    """One server; ``until`` is when it may be tried again."""
+    """The health of one server.
 
-    until: float = float("-inf")
-    pause: float = 0.0
+    It gets no requests before ``blocked_until``.  ``backoff`` is the present
+    backoff in seconds, 0 for a server that can be reached.
+    ``failure_share`` is a moving average of the share of failed answers.
+    """
+
+    blocked_until: float = float("-inf")
+    backoff: float = 0.0
     failure_share: float = 0.0
 
     def usable(self, now):
-        """Tell whether new work may go there."""
-        return now >= self.until
-
-    def unreachable(self, now):
-        """Take note that no connection came about, or it broke off."""
-        self.pause = min(LONGEST_PAUSE, max(FIRST_PAUSE, 2 * self.pause))
-        self.until = now + self.pause
-        self._answered(failed=True)
-
-    def tried(self, now):
-        """Take note that a request goes there, maybe to find it out."""
-        if self.pause:
-            self.until = max(self.until, now + PROBE_SECONDS)
-
-    def answers(self):
-        """Take note that it answers: it can be reached."""
-        if self.pause:
-            self.pause = 0.0
-            self.until = float("-inf")
-
-    def gone(self):
-        """Take note that another server is at its address now, for good."""
-        self.until = float("inf")
-
-    def full(self, now):
-        """Take note that the server turned a request away."""
-        self.until = max(self.until, now + FULL_PAUSE)
-
-    def failed(self):
-        """Take note of an answer that was a failure."""
-        self._answered(failed=True)
-
-    def succeeded(self):
-        """Take note of a whole answer."""
-        self._answered(failed=False)
-
-    def _answered(self, failed):
-        moved = FAILURE_WEIGHT * (float(failed) - self.failure_share)
-        self.failure_share += moved
+        """Return whether the server may get new work."""
+        return now >= self.blocked_until
+
+    def record_unreachable(self, now):
+        """Record that a connection could not be established or broke."""
+        self.backoff = min(
+            MAX_BACKOFF_SECONDS,
+            max(INITIAL_BACKOFF_SECONDS, 2 * self.backoff),
+        )
+        self.blocked_until = now + self.backoff
+        self._update_failure_share(failed=True)
+
+    def record_attempt(self, now):
+        """Record that a request is sent, which probes a server in backoff."""
+        if self.backoff:
+            self.blocked_until = max(self.blocked_until, now + PROBE_SECONDS)
+
+    def record_reached(self):
+        """Record that the server answers; end its backoff."""
+        if self.backoff:
+            self.backoff = 0.0
+            self.blocked_until = float("-inf")
+
+    def record_replaced(self):
+        """Block the server for good: another one has taken its address."""
+        self.blocked_until = float("inf")
+
+    def record_full(self, now):
+        """Record that the server refused a request because it is full."""
+        self.blocked_until = max(
+            self.blocked_until, now + FULL_BACKOFF_SECONDS
+        )
+
+    def record_failure(self):
+        """Record an answer that was a failure."""
+        self._update_failure_share(failed=True)
+
+    def record_success(self):
+        """Record a complete answer."""
+        self._update_failure_share(failed=False)
+
+    def _update_failure_share(self, failed):
+        change = FAILURE_WEIGHT * (float(failed) - self.failure_share)
+        self.failure_share += change
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/server_table.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/server_table.py
@@ -1,9 +1,9 @@
-"""What an instance knows of each backend server: its own and others' work.
+"""What an instance knows of each backend server.
 
-Servers report nothing here.  What one instance has is the count of its own
-work, the word of the others of theirs, how its own attempts went, and which
-prompt parts went where.  All of that is about one incarnation of a server
-and goes with it.
+Servers report nothing here.  An instance has the count of its own outstanding
+work, the loads that the other instances announced, how its own attempts went,
+and which prompt prefixes went to which server.  All of it is about one
+incarnation of a server and is dropped when the server restarts.
 """
 
 from ..coordination import server_loads
@@ -11,12 +11,12 @@
 from . import server_health
 
 
-class Server:
+class ServerState:
     """What this instance knows of one incarnation of a server.
 
-    ``epoch`` tells which one, ``None`` while none has announced itself.
-    ``running`` counts this instance's requests there, ``unread`` the prompt
-    tokens of those without output.
+    ``epoch`` identifies the incarnation; it is ``None`` until the server has
+    announced itself.  ``running`` counts this instance's outstanding requests
+    there, ``unread`` the prompt tokens of those that have no output yet.
     """
 
     __slots__ = ("epoch", "running", "unread", "health", "cache")
@@ -30,9 +30,9 @@
 
 
 class ServerTable:
-    """The servers by name, with the others' ``loads`` beside the own work.
+    """The state of all servers by name, combined with the others' ``loads``.
 
-    ``kv_tokens()`` tells for how many tokens an engine has memory.
+    ``kv_tokens()`` returns how many tokens fit into an engine's KV cache.
     """
 
     __slots__ = ("_loads", "_kv_tokens", "_servers")
@@ -43,52 +43,52 @@
         self._servers = {}
 
     def server(self, name):
-        """Return what is known of a server, nothing at first."""
-        held = self._servers.get(name)
-        if held is None:
-            held = self._servers[name] = Server(self._kv_tokens())
-        return held
+        """Return the state of a server; create an empty one if needed."""
+        state = self._servers.get(name)
+        if state is None:
+            state = self._servers[name] = ServerState(self._kv_tokens())
+        return state
 
     def running(self, name):
-        """Return how many requests all instances have there."""
+        """Return how many requests all instances have at a server."""
         return self.server(name).running + self._loads.running(name)
 
     def unread(self, name):
-        """Return how many prompt tokens of all wait to be read there."""
+        """Return the prompt tokens of all instances yet to be prefilled."""
         return self.server(name).unread + self._loads.unread(name)
 
-    def others(self, name):
+    def remote_load(self, name):
         """Return ``(running, unread)`` of the other instances."""
         return self._loads.running(name), self._loads.unread(name)
 
     def own_loads(self):
-        """Return this instance's work at each server."""
+        """Return this instance's work at each server that has some."""
         return [
-            server_loads.Load(name, held.running, int(held.unread))
-            for name, held in self._servers.items()
-            if held.running
+            server_loads.Load(name, state.running, int(state.unread))
+            for name, state in self._servers.items()
+            if state.running
         ]
 
-    def announced(self, name, epoch):
-        """Take note of the incarnation that announced itself.
+    def record_announcement(self, name, epoch):
+        """Record the epoch that a server announced.
 
-        Returns whether it took the place of an earlier one, of which
-        nothing is kept then.  Failure guarded against: an engine that
-        starts again under its name has read nothing and runs nothing.  Taken
-        for the old one it would get no work while what died with it counts
-        as running, and prompts for parts that it no longer has.
+        Returns whether the server has restarted since; its state is empty
+        then.  A restarted engine has nothing cached and runs nothing.  With
+        the state of the earlier incarnation it would get no work while
+        requests that ended with the restart count as running, and it would
+        get prompts for prefixes that it no longer has.
         """
-        held = self.server(name)
-        if held.epoch is None:
-            held.epoch = epoch
-        if held.epoch == epoch:
+        state = self.server(name)
+        if state.epoch is None:
+            state.epoch = epoch
+        if state.epoch == epoch:
             return False
-        self._servers[name] = Server(self._kv_tokens(), epoch)
+        self._servers[name] = ServerState(self._kv_tokens(), epoch)
         self._loads.forget(name)
         return True
 
     def forget(self, name):
-        """Drop what is held about a server that is gone."""
-        held = self._servers.get(name)
-        if held is not None and not held.running:
+        """Drop the state of a server that is gone, unless it has own work."""
+        state = self._servers.get(name)
+        if state is not None and not state.running:
             del self._servers[name]
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/service_traits.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/service_traits.py
@@ -1,46 +1,48 @@
-"""What a whole configuration says of the requests to one service."""
+"""Derives what the requests to a service have in common."""
 
 import msgspec
 
-# Memory of an engine where the configuration does not say.
-KV_TOKENS = 500_000
-# Engines honour ten priorities; of these an organisation's priority takes so
-# many steps each, within which the routes' own count.
+# The KV cache of an engine, in tokens, if the configuration does not say.
+DEFAULT_KV_TOKENS = 500_000
+# Engines honour ten priorities.  Each priority of an organisation takes this
+# many of them, which the priorities of its routes divide further.
 ROUTE_PRIORITIES = 3
 
 
 class Traits(msgspec.Struct, frozen=True):
     """What the routes to a service have in common.
 
-    ``shortest_pause`` is the shortest that one asks for, in seconds, 0 where
-    none does; ``least_urgent`` the highest step among their priorities.
+    ``shortest_gap_seconds`` is the shortest gap between events that a route
+    asks for, 0 if none does.  ``least_urgent_step`` is the highest priority
+    step among the routes.
     """
 
-    shortest_pause: float
-    least_urgent: int
+    shortest_gap_seconds: float
+    least_urgent_step: int
 
 
 def step_of(priority):
-    """Return the step that a route's priority is to an engine."""
+    """Return the priority step of a route as engines are told it.
+
+    It is below :data:`ROUTE_PRIORITIES`; 0 is the most urgent.
+    """
     return min(priority, ROUTE_PRIORITIES - 1)
 
 
-def read(revision, service):
-    """Return the :class:`Traits` of ``service``."""
+def read_traits(revision, service):
+    """Return the :class:`Traits` of ``service`` in a revision."""
     routes = [
         route
         for route in revision.routes
         if any(part.service == service for part in route.split)
     ]
-    pauses = [
-        route.longest_pause for route in routes if route.longest_pause > 0
-    ]
+    gaps = [route.longest_pause for route in routes if route.longest_pause > 0]
     steps = [step_of(route.priority) for route in routes]
-    return Traits(min(pauses, default=0.0), max(steps, default=0))
+    return Traits(min(gaps, default=0.0), max(steps, default=0))
 
 
-def kv_tokens(revision):
-    """Return how many tokens the largest engines have memory for."""
+def max_kv_tokens(revision):
+    """Return how many tokens fit into the largest engine's KV cache."""
     services = revision.services if revision else []
-    told = [item.engine.kv_tokens for item in services if item.engine]
-    return max(told, default=0) or KV_TOKENS
+    known = [item.engine.kv_tokens for item in services if item.engine]
+    return max(known, default=0) or DEFAULT_KV_TOKENS
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/shared.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/shared.py
@@ -1,12 +1,13 @@
-"""The policy for servers that many instances share and nobody reports on.
+"""The scheduling policy for servers that many instances share.
 
-Servers tell neither their load nor what they hold, and other instances send
-them work too.  What an instance has is its own work under way, what the
-other instances say of theirs a tenth of a second ago, and that all of them
-compute alike.
+Servers report neither their load nor what they have cached, and other
+instances send them work too.  An instance knows its own outstanding work, the
+work that the other instances announced about a tenth of a second ago, and
+that all instances run the same algorithm.
 
-Long prompts wait here, where they can still be reordered or refused, until an
-engine has next to nothing to read (:mod:`.engine_choice`).
+Long prompts wait in this instance's queue, where they can still be reordered
+or refused, until an engine has next to nothing left to prefill
+(:mod:`.engine_choice`).
 """
 
 import collections
@@ -27,41 +28,45 @@
 from . import service_traits
 from . import work as work_module
 
-# A caller that meets no usable server may come back after a restart's time.
-NO_SERVER_RETRY = 1.0
-# Work waits so long for a server to become usable again before it is given
-# up: most pauses are over by then, and little of its target is.
-PATIENCE = 0.3
-# What is left of its time when queued work is given up as hopeless: a short
-# answer's own time on a calm engine.
-LEAST_SERVICE = 0.5
-# Queued work counts as hopeless once the queue before it takes this part of
-# the time that it has left: its own answer takes time too, and the pace is
-# only an estimate.
-HOPE_PART = 0.7
-# Lines about servers between two ticks; a storm of failures needs no more.
-MOST_BELIEFS = 50
+# The Retry-After of a refusal for want of a usable server: about the time in
+# which a server restarts.
+NO_SERVER_RETRY_SECONDS = 1.0
+# How long work waits for a server to become usable again before it is
+# refused: most backoffs are over by then, and little of the work's latency
+# target is used up.
+NO_SERVER_WAIT_SECONDS = 0.3
+# Queued work is refused once less than this is left until its deadline: the
+# time that a short answer takes on a lightly loaded engine.
+MIN_SERVICE_SECONDS = 0.5
+# Queued work is also refused once the queue ahead of it takes more than this
+# fraction of its remaining time: its own answer takes time too, and the
+# placement rate is only an estimate.
+MAX_QUEUE_TIME_FRACTION = 0.7
+# Bounds the log lines about servers between two ticks, as in a burst of
+# failures.
+MAX_BELIEFS_PER_TICK = 50
 
 
 class Attempt(msgspec.Struct):
-    """Work under way at a server.
+    """An outstanding attempt at a server.
 
-    ``held`` is what was known of the incarnation that got it: work that
-    ends after a restart is not taken off the next one's count.  ``domain``
-    is the server's failure domain, ``placed`` when the work was given to it,
-    ``unread`` the prompt tokens that it has yet to read of it.
+    ``server_state`` is the state of the incarnation that got the work, so
+    that work which ends after a restart is not subtracted from the count of
+    the next incarnation.  ``domain`` is the server's failure domain,
+    ``placed_at`` when the work was placed, ``unread`` the prompt tokens that
+    the server has yet to prefill for it.
     """
 
     work: work_module.Work
     server: str
-    held: server_table.Server
+    server_state: server_table.ServerState
     domain: str
-    placed: float
+    placed_at: float
     unread: float
 
 
 class Shared(policy.Policy):
-    """Decides for one instance, from its own work and the others' word."""
+    """Schedules for one instance, by its own and the others' work."""
 
     def __init__(self, rng, view, state, limits):
         self._rng = rng
@@ -74,170 +79,191 @@
         self._searches = searches.Searches()
         self._table = server_table.ServerTable(state.loads, self._kv_tokens)
         self._engines = engine_choice.EngineChoice(self._table, self._domain)
-        self._news = read_news.ReadNews(self._table)
-        self._traits_of = (None, {})
+        self._prefixes = read_news.PrefixAnnouncements(self._table)
+        # The revision that the traits were read from, and those by service.
+        self._traits_cache = (None, {})
         self._beliefs = []
-        # Of each service, by the present round alone.
-        self._usable_now = {}
-        self._pace = placing_pace.PlacingPace()
-        self._reach = domain_reach.DomainReach(self._domain, view)
+        # The usable servers by service, valid for the current round only.
+        self._round_usable = {}
+        self._placement_rate = placing_pace.PlacementRate()
+        self._domain_reach = domain_reach.DomainReachability(
+            self._domain, view
+        )
 
-    # -- what the other instances are told ---------------------------------
+    # -- exchange with the other instances ----------------------------------
 
     def own_loads(self):
-        """Return this instance's work at each server."""
+        """Return this instance's outstanding work at each server."""
         return self._table.own_loads()
 
     def take_reads(self):
-        """Return what was sent to engines since the last call."""
-        return self._news.take()
+        """Return the prefixes sent to engines since the last call."""
+        return self._prefixes.take()
 
     def heard_reads(self, reads, now):
-        """Take in what the others sent to engines."""
-        self._news.heard(reads, now)
+        """Record the prefixes that other instances sent to engines."""
+        self._prefixes.receive(reads, now)
 
     def take_beliefs(self):
-        """Return the :class:`Belief` objects since the last call."""
+        """Return the ``work.Belief`` objects since the last call."""
         beliefs, self._beliefs = self._beliefs, []
         return beliefs
 
-    def _believe(self, text, server, health, now):
-        seconds = max(0.0, health.until - now)
+    def _add_server_belief(self, text, server, health, now):
+        seconds = max(0.0, health.blocked_until - now)
         share = round(health.failure_share, 3)
-        self._tell(work_module.Belief(text, server, share, seconds))
+        self._add_belief(work_module.Belief(text, server, share, seconds))
 
-    def _tell(self, belief):
-        if len(self._beliefs) < MOST_BELIEFS:
+    def _add_belief(self, belief):
+        if len(self._beliefs) < MAX_BELIEFS_PER_TICK:
             self._beliefs.append(belief)
 
-    # -- admitting --------------------------------------------------------
+    # -- admission ----------------------------------------------------------
 
     def offer(self, work, now):
-        """Queue the work."""
-        self._budget.request(work.service, now)
+        """Queue new work and return it; this policy never refuses it here."""
+        self._budget.record_request(work.service, now)
         self._queue[work.request_id] = work
         return work
 
     def requeue(self, work, now):
-        """Queue work again whose attempt did not begin."""
+        """Queue work again whose attempt did not begin.
+
+        It does not count against the retry budget.
+        """
         self._queue[work.request_id] = work
 
     def retry(self, work, now):
-        """Queue work again, within the budget of repeats."""
-        if not self._budget.take(work.service, self._view.instances(now), now):
+        """Queue work for a retry, unless the retry budget is used up."""
+        if not self._budget.spend(
+            work.service, self._view.instances(now), now
+        ):
             return sentinels.Nothing(
-                sentinels.Reason.SERVER_FAILED, NO_SERVER_RETRY
+                sentinels.Reason.SERVER_FAILED, NO_SERVER_RETRY_SECONDS
             )
         self._queue[work.request_id] = work
         return work
 
     def withdraw(self, request_id):
-        """Forget queued work."""
+        """Remove queued work and return it, or ``None``."""
         return self._queue.pop(request_id, None)
 
     def seek(self, work, since):
-        """Look for a server beside a silent one."""
+        """Look for a server for a hedge of ``work``, from ``since`` on."""
         self._searches.begin(work, since)
 
     def stop_seeking(self, request_id):
-        """Look for no server any more beside a silent one."""
+        """Stop looking for a server for a hedge of a request."""
         self._searches.end(request_id)
 
     def waiting(self):
-        """Count the queued work by class."""
+        """Return the number of queued requests by class."""
         return dict(
             collections.Counter(
                 work.class_name for work in self._queue.values()
             )
         )
 
-    # -- placing ----------------------------------------------------------
+    # -- placement ----------------------------------------------------------
 
     def next(self, now, directory):
-        """Place what can be placed, the most urgent first.
+        """Run a round: place and refuse work, the most urgent first.
 
-        An engine that is too busy for a piece of work takes nothing less
-        urgent in this round: it would else never be free for a long prompt.
+        An engine that is too busy for a piece of work gets no less urgent
+        long prompt in the same round: otherwise it would never become idle
+        enough for a long prompt.
         """
         if not self._queue and not self._searches:
             return []
-        claimed = set()
-        self._usable_now.clear()
-        lost, slow = self._searching(now)
-        decided = self._hedged(lost, now, directory, claimed)
-        decided.extend(self._placed(now, directory, claimed))
-        decided.extend(self._hedged(slow, now, directory, claimed))
-        return decided
-
-    def _placed(self, now, directory, claimed):
-        """Place or refuse what has no server."""
-        decided = []
-        ahead = collections.Counter()
+        blocked = set()
+        self._round_usable.clear()
+        unreachable, slow = self._due_searches(now)
+        decisions = self._place_hedges(unreachable, now, directory, blocked)
+        decisions.extend(self._place_queued(now, directory, blocked))
+        decisions.extend(self._place_hedges(slow, now, directory, blocked))
+        return decisions
+
+    def _place_queued(self, now, directory, blocked):
+        """Place or refuse the queued work; return the decisions."""
+        decisions = []
+        tokens_ahead = collections.Counter()
         queued = list(self._queue.values())
         if len(queued) > 1:
-            queued.sort(key=lambda work: _urgency(work, now))
-        self._engines.waiting(queued)
+            queued.sort(key=lambda work: _queue_order(work, now))
+        self._engines.note_queue(queued)
         for work in queued:
-            item = self._decide(work, now, directory, claimed)
-            if item is None:
-                ahead[work.service] += work.prompt_tokens
-                item = self._refuse_hopeless(work, ahead[work.service], now)
-            if item is not None:
+            decision = self._decide(work, now, directory, blocked)
+            if decision is None:
+                tokens_ahead[work.service] += work.prompt_tokens
+                decision = self._refuse_if_too_late(
+                    work, tokens_ahead[work.service], now
+                )
+            if decision is not None:
                 del self._queue[work.request_id]
-                decided.append(item)
-        return decided
-
-    def _searching(self, now):
-        """Return the work that looks for a second server, as two lists.
-
-        Made for two kinds of silence that look alike.  A stream whose server
-        is lost to this instance, as in a cut, has no other way to go on and
-        goes first.  One whose server is merely slow, as all are under load,
-        would take the room of requests that have no server at all; it gets
-        what these leave.
+                decisions.append(decision)
+        return decisions
+
+    def _due_searches(self, now):
+        """Return the work due for a hedge, as ``(unreachable, slow)``.
+
+        An unreachable server and a slow one look alike: both are silent.  A
+        stream whose server is unreachable, as in a network partition, cannot
+        go on without a hedge, so it is placed before the queue.  One whose
+        server is only slow, as all servers are under load, would take
+        capacity from requests that have no server at all, so it is placed
+        after the queue.
         """
-        lost = []
+        unreachable = []
         slow = []
         for search in self._searches.due(now):
-            found = lost if self._is_lost(search.work, now) else slow
-            found.append(search.work)
-        return lost, slow
+            due = (
+                unreachable
+                if self._seems_unreachable(search.work, now)
+                else slow
+            )
+            due.append(search.work)
+        return unreachable, slow
 
-    def _hedged(self, searching, now, directory, claimed):
-        """Place what silent servers have, where others have room for it."""
-        decided = []
+    def _place_hedges(self, searching, now, directory, blocked):
+        """Place hedges where other servers and the retry budget have room."""
+        decisions = []
         for work in searching:
             instances = self._view.instances(now)
             if not self._budget.allows(work.service, instances, now):
                 continue
-            item = self._decide(work, now, directory, claimed, hedge=True)
-            if isinstance(item, work_module.Placement):
-                self._budget.take(work.service, instances, now)
+            decision = self._decide(work, now, directory, blocked, hedge=True)
+            if isinstance(decision, work_module.Placement):
+                self._budget.spend(work.service, instances, now)
                 self._searches.end(work.request_id)
-                decided.append(item)
-            elif item is not None:
+                decisions.append(decision)
+            elif decision is not None:
+                # A hedge is never refused: the search goes on, and may now use
+                # the servers that turned the work away before.
                 work.ask_again()
-        return decided
+        return decisions
 
-    def _is_lost(self, work, now):
-        """Tell whether the server that has ``work`` seems out of reach."""
+    def _seems_unreachable(self, work, now):
+        """Return whether the server that has ``work`` seems unreachable."""
         attempt = self._attempts.get(work.request_id)
         if attempt is None:
             return True
-        return bool(attempt.held.health.pause) or self._reach.is_cut(
-            attempt.domain, now
-        )
+        return bool(
+            attempt.server_state.health.backoff
+        ) or self._domain_reach.is_partitioned(attempt.domain, now)
 
-    def _refuse_hopeless(self, work, ahead, now):
-        """Refuse work that the queue before it will keep too long.
+    def _refuse_if_too_late(self, work, tokens_ahead, now):
+        """Return a refusal if the queue is too long for the work's deadline.
 
-        Made for a burst beyond what the engines can read: whoever cannot be
-        served within its time is told so at once, with the time that the
-        queue takes, and not when its time is up.
+        In a burst beyond what the engines can prefill, a caller that cannot
+        be served in time is refused at once, with a Retry-After of half the
+        expected wait, and not only at its deadline.  Returns ``None`` if the
+        work may still be served in time.
         """
-        wait = self._pace.seconds(work.service, ahead, now)
-        left = work.deadline - now - LEAST_SERVICE
-        if wait <= left * HOPE_PART:
+        wait = self._placement_rate.estimate_seconds(
+            work.service, tokens_ahead, now
+        )
+        left = work.deadline - now - MIN_SERVICE_SECONDS
+        if wait <= left * MAX_QUEUE_TIME_FRACTION:
             return None
         nothing = sentinels.Nothing(sentinels.Reason.QUEUE_FULL, wait / 2)
         grounds = work_module.Grounds(
@@ -245,15 +271,18 @@
         )
         return work_module.Refusal(work, nothing, grounds)
 
-    def _decide(self, work, now, directory, claimed, hedge=False):
+    def _decide(self, work, now, directory, blocked, hedge=False):
+        """Return a placement, a refusal, or ``None`` to leave it queued."""
         left = work.deadline - now
         servers = directory.of_service(work.service)
-        if left <= 0 or (work.parts and left < LEAST_SERVICE):
+        if left <= 0 or (work.parts and left < MIN_SERVICE_SECONDS):
             return self._refusal(work, sentinels.Reason.ALL_BUSY, servers)
         usable = self._usable_in_round(work, servers, now)
         if not usable:
             waited = now - work.received
-            if waited < PATIENCE and len(work.avoid) < len(servers):
+            if waited < NO_SERVER_WAIT_SECONDS and len(work.avoid) < len(
+                servers
+            ):
                 return None
             return self._refusal(work, sentinels.Reason.NO_SERVER, servers)
         if not work.parts:
@@ -265,35 +294,38 @@
         chosen = self._engines.choose(work, traits, servers, usable, now)
         if not self._engines.has_room(work, traits, chosen):
             if not hedge:
-                claimed.add(chosen.name)
+                blocked.add(chosen.name)
             return None
-        if chosen.name in claimed and (
-            chosen.need > engine_choice.SHORT_PROMPT
+        if chosen.name in blocked and (
+            chosen.need > engine_choice.SHORT_PROMPT_TOKENS
         ):
             return None
         return self._place(work, chosen.name, chosen.need, usable, now, hedge)
 
     def _usable_in_round(self, work, servers, now):
-        """Return the usable servers, the same for all that avoid none."""
+        """Return the usable servers, cached per round and service.
+
+        Work that avoids servers after failed attempts is not cached.
+        """
         if work.avoid:
-            return self._usable(work, servers, now)
-        held = self._usable_now.get(work.service)
-        if held is None:
-            held = self._usable(work, servers, now)
-            self._usable_now[work.service] = held
-        return held
-
-    def _usable(self, work, servers, now):
+            return self._usable_servers(work, servers, now)
+        cached = self._round_usable.get(work.service)
+        if cached is None:
+            cached = self._usable_servers(work, servers, now)
+            self._round_usable[work.service] = cached
+        return cached
+
+    def _usable_servers(self, work, servers, now):
         """Return the servers that may take the work, by name.
 
-        Of several at one address only the one heard of last is there: a
-        server that starts anew at its address has a new name.
+        Of several servers at one address only the one heard of last counts:
+        a server that restarts at the same address has a new name.
         """
         newest = {}
         for server in servers:
             url = server.announcement.url
-            held = newest.get(url)
-            if held is None or server.heard > held.heard:
+            known = newest.get(url)
+            if known is None or server.heard > known.heard:
                 newest[url] = server
         usable = {}
         for server in newest.values():
@@ -302,151 +334,168 @@
                 continue
             if self._table.server(name).health.usable(now):
                 usable[name] = server
-        return self._within_reach(usable, now)
+        return self._without_partitioned_domains(usable, now)
 
-    def _within_reach(self, usable, now):
-        """Leave out the domains that are cut off, where others are left."""
+    def _without_partitioned_domains(self, usable, now):
+        """Leave out partitioned failure domains, unless no other is left."""
         domains = {
             server.announcement.failure_domain for server in usable.values()
         }
-        cut = {item for item in domains if self._reach.is_cut(item, now)}
-        if not cut or cut == domains:
+        partitioned = {
+            domain
+            for domain in domains
+            if self._domain_reach.is_partitioned(domain, now)
+        }
+        if not partitioned or partitioned == domains:
             return usable
         return {
             name: server
             for name, server in usable.items()
-            if server.announcement.failure_domain not in cut
+            if server.announcement.failure_domain not in partitioned
         }
 
     def _kv_tokens(self):
         table = self._routing.table
-        return service_traits.kv_tokens(table.revision if table else None)
+        return service_traits.max_kv_tokens(table.revision if table else None)
 
     def _traits(self, work):
-        """Return what the revision in force says of a service's requests."""
+        """Return the traits of a service in the revision in force."""
         revision = self._routing.table.revision
-        held, traits = self._traits_of
-        if held is not revision:
-            traits = {}
-            self._traits_of = (revision, traits)
-        found = traits.get(work.service)
-        if found is None:
-            found = service_traits.read(revision, work.service)
-            traits[work.service] = found
-        return found
+        cached_revision, by_service = self._traits_cache
+        if cached_revision is not revision:
+            by_service = {}
+            self._traits_cache = (revision, by_service)
+        traits = by_service.get(work.service)
+        if traits is None:
+            traits = service_traits.read_traits(revision, work.service)
+            by_service[work.service] = traits
+        return traits
 
     def _place(self, work, name, need, usable, now, hedge=False):
-        held = self._table.server(name)
-        running, unread = self._table.others(name)
+        """Count the work as outstanding at a server; return a placement.
+
+        ``need`` is the prompt tokens that the server has to prefill.
+        """
+        state = self._table.server(name)
+        running, unread = self._table.remote_load(name)
         grounds = work_module.Grounds(
             int(need),
-            int(held.unread),
+            int(state.unread),
             unread,
-            held.running,
+            state.running,
             running,
             len(usable),
             len(self._queue) - 1,
         )
-        if held.health.pause:
-            # One request at a time finds out whether it is back.
-            self._usable_now.clear()
-        held.health.tried(now)
-        self._engines.placed(name)
-        held.running += 1
-        held.unread += need
-        if need > engine_choice.SHORT_PROMPT:
-            self._pace.placed(work.service, work.prompt_tokens, now)
+        if state.health.backoff:
+            # This request probes whether the server is back; the others of
+            # the round must see that it is not usable meanwhile.
+            self._round_usable.clear()
+        state.health.record_attempt(now)
+        self._engines.note_placed(name)
+        state.running += 1
+        state.unread += need
+        if need > engine_choice.SHORT_PROMPT_TOKENS:
+            self._placement_rate.record(work.service, work.prompt_tokens, now)
         shared = work.parts[:-1]
         if shared:
-            self._news.sent(name, list(shared), now)
+            self._prefixes.record_sent(name, list(shared), now)
         domain = usable[name].announcement.failure_domain
-        attempt = Attempt(work, name, held, domain, now, need)
+        attempt = Attempt(work, name, state, domain, now, need)
         self._attempts.add(work.request_id, attempt, hedge)
         return work_module.Placement(work, name, grounds, hedge)
 
     def _refusal(self, work, reason, servers):
-        nothing = sentinels.Nothing(reason, NO_SERVER_RETRY)
+        nothing = sentinels.Nothing(reason, NO_SERVER_RETRY_SECONDS)
         grounds = work_module.Grounds(
             usable=len(servers), waiting=len(self._queue) - 1
         )
         return work_module.Refusal(work, nothing, grounds)
 
-    # -- feedback ---------------------------------------------------------
+    # -- feedback -----------------------------------------------------------
 
     def first_output(self, request_id, now):
-        """Take note that the prompt has been read."""
+        """Record that an attempt has output: its prompt is prefilled."""
         attempt = self._attempts.get(request_id)
         if attempt is not None:
-            attempt.held.unread -= attempt.unread
+            attempt.server_state.unread -= attempt.unread
             attempt.unread = 0.0
-            self._answers(attempt, now)
+            self._record_answering(attempt, now)
 
     def ended(self, ended, now):
-        """Take note of how an attempt ended."""
+        """Record how an attempt ended (:class:`.work.Ended`)."""
         attempt = self._attempts.take(ended)
         if attempt is None:
             return
-        held = attempt.held
-        held.running -= 1
-        held.unread -= attempt.unread
-        health = held.health
+        state = attempt.server_state
+        state.running -= 1
+        state.unread -= attempt.unread
+        health = state.health
         if ended.gone:
-            health.gone()
-            self._believe(
+            health.record_replaced()
+            self._add_server_belief(
                 "backend server replaced", attempt.server, health, now
             )
         elif ended.unreachable:
-            self._unreachable(attempt, now)
+            self._record_unreachable(attempt, now)
         elif ended.refused:
-            held.health.full(now)
+            state.health.record_full(now)
         elif ended.failed:
-            held.health.failed()
+            state.health.record_failure()
         elif not ended.wasted:
-            self._answers(attempt, now)
-            health.succeeded()
-
-    def _answers(self, attempt, now):
-        """Take note that a server answers: it, and its domain, are there."""
-        health = attempt.held.health
-        self._reach.reached(attempt.domain)
-        if health.pause:
-            health.answers()
-            self._believe(
+            self._record_answering(attempt, now)
+            health.record_success()
+
+    def _record_answering(self, attempt, now):
+        """Record that a server, and so its failure domain, is reachable."""
+        health = attempt.server_state.health
+        self._domain_reach.record_reached(attempt.domain)
+        if health.backoff:
+            health.record_reached()
+            self._add_server_belief(
                 "backend server usable again", attempt.server, health, now
             )
 
-    def _unreachable(self, attempt, now):
-        health = attempt.held.health
-        health.unreachable(now)
-        self._believe("backend server avoided", attempt.server, health, now)
-        if self._reach.unreachable(
-            attempt.domain, attempt.server, attempt.placed, now
+    def _record_unreachable(self, attempt, now):
+        health = attempt.server_state.health
+        health.record_unreachable(now)
+        self._add_server_belief(
+            "backend server avoided", attempt.server, health, now
+        )
+        if self._domain_reach.record_unreachable(
+            attempt.domain, attempt.server, attempt.placed_at, now
         ):
-            self._tell(
+            self._add_belief(
                 work_module.Belief(
                     "failure domain avoided",
                     attempt.server,
                     round(health.failure_share, 3),
-                    domain_reach.SUSPECTED_SECONDS,
+                    domain_reach.SUSPICION_SECONDS,
                     attempt.domain,
                 )
             )
 
     def observe(self, server, now):
-        """Drop all that was held of an earlier incarnation of ``server``."""
+        """Reset what is known of a server that has restarted."""
         announcement = server.announcement
         name = announcement.backend_server
-        if self._table.announced(name, announcement.epoch):
+        if self._table.record_announcement(name, announcement.epoch):
             health = self._table.server(name).health
-            self._believe("backend server restarted", name, health, now)
+            self._add_server_belief(
+                "backend server restarted", name, health, now
+            )
 
     def forget_server(self, name):
-        """Drop what is held about a server that is gone."""
+        """Drop the state of a server that is gone."""
         self._table.forget(name)
 
 
-def _urgency(work, now):
-    """Order by priority, and within it those first that can be on time."""
+def _queue_order(work, now):
+    """Return the sort key of queued work.
+
+    Work is ordered by priority, then work that can still meet its target for
+    the first token before work that cannot, then by arrival.
+    """
     target = work.first_token_ms
     late = target is not None and now - work.received > target / 1000.0
     return (work.priority, late, work.received)
--- a/tests/common/shared_play.py
+++ b/tests/common/shared_play.py
@@ -1,7 +1,8 @@
-"""One instance's policy with time, servers and the others in a test's hands.
+"""A harness for the ``Shared`` policy of one instance.
 
-There is one service, ``llm``, with a route for chats, whose pauses are short,
-and one for reviews, whose prompts are long.
+The test controls time, servers and the announcements of other instances.
+There is one service, ``llm``, with a route for chats, whose longest allowed
+gap between events is short, and one for reviews, whose prompts are long.
 """
 
 import random
@@ -17,12 +18,12 @@
 
 from tests.common import prompt_engine
 
-# Tokens of a review's shared part.
-LONG = 13_000
+# Tokens of the shared prefix of a review.
+PREFIX_TOKENS = 13_000
 
 
 class Directory:
-    """Servers of one service, all alive."""
+    """``count`` engines of one service, all alive, in three domains."""
 
     def __init__(self, count, service="llm"):
         self.servers = [
@@ -34,7 +35,7 @@
 
 
 class View(view.ClusterView):
-    """Nine instances; ``heard`` tells when those of a domain were heard."""
+    """Nine instances; ``heard`` is when a domain was last heard, by name."""
 
     def __init__(self):
         self.heard = {}
@@ -46,7 +47,7 @@
         return self.heard.get(failure_domain)
 
 
-def table():
+def routing_table():
     split = [revisions.Split("llm")]
     routes = [
         revisions.Route("chat", "h", "/c/", split, 10.0, longest_pause=0.3),
@@ -58,12 +59,15 @@
 
 
 class Play:
-    """One instance's policy, with time and servers in the test's hands."""
+    """The policy of one instance and its inputs; ``now`` is its clock.
+
+    ``slack`` is that of the retry limits of the whole cluster.
+    """
 
     def __init__(self, count=6, slack=58.0):
         self.loads = server_loads.LoadTable()
         state = types.SimpleNamespace(
-            routing=types.SimpleNamespace(table=table()),
+            routing=types.SimpleNamespace(table=routing_table()),
             loads=self.loads,
             identity=types.SimpleNamespace(failure_domain="fd0"),
         )
@@ -75,7 +79,11 @@
         self.count = 0
 
     def ask(self, parts, pause=1.2, priority=2, deadline=10.0, **more):
-        """Offer one request; return its work."""
+        """Offer one request to the policy; return its work.
+
+        ``pause`` is the target for the gap between events in seconds,
+        ``deadline`` in seconds from now.
+        """
         self.count += 1
         work = work_module.Work(
             f"r{self.count}",
@@ -97,18 +105,21 @@
         return work
 
     def next(self):
-        """Return what is decided now, as ``{request: server or refusal}``."""
-        decided = self.policy.next(self.now, self.directory)
+        """Run a round; return ``{request id: server name or refusal}``."""
+        decisions = self.policy.next(self.now, self.directory)
         return {
-            item.work.request_id: getattr(item, "server", item)
-            for item in decided
+            decision.work.request_id: getattr(decision, "server", decision)
+            for decision in decisions
         }
 
-    def review(self, thing, own=3000, **more):
+    def review(self, prefix_id, own=3000, **more):
+        """Offer a review whose shared prefix has the number ``prefix_id``."""
         return self.ask(
-            [(f"t{thing}", LONG), (f"own{self.count}", own)], **more
+            [(f"t{prefix_id}", PREFIX_TOKENS), (f"own{self.count}", own)],
+            **more,
         )
 
     def chat(self, **more):
+        """Offer a chat: a short prompt with a tight target for the gap."""
         parts = [("c", 200), ("u", 150), (f"own{self.count}", 700)]
         return self.ask(parts, pause=0.3, priority=0, **more)
--- a/tests/cover/test_hedge_policy.py
+++ b/tests/cover/test_hedge_policy.py
@@ -1,4 +1,4 @@
-"""Where and when a second server is found beside a silent one."""
+"""Placement of hedges beside a silent server by the ``Shared`` policy."""
 
 import pytest
 
@@ -9,40 +9,43 @@
 
 @pytest.fixture
 def play():
-    """Two engines; the first one has a review, and reads it."""
-    made = shared_play.Play(count=2)
-    made.silent = review(made, "a", avoid={"e1"})
-    assert made.next() == {"r1": "e0"}
-    return made
+    """Two engines; the first one has a review and prefills it."""
+    harness = shared_play.Play(count=2)
+    harness.silent = review(harness, "a", avoid={"e1"})
+    assert harness.next() == {"r1": "e0"}
+    return harness
 
 
-def review(play, thing, **more):
-    return play.review(thing, own=4000, max_attempts=2, **more)
+def review(play, prefix_id, **more):
+    """Offer a review that may have a hedge."""
+    return play.review(prefix_id, own=4000, max_attempts=2, **more)
 
 
-def is_silent(play, work):
-    """Have another engine sought, as the reducer does."""
+def report_silent(play, work):
+    """Ask for a hedge at another engine than e0, as the reducer does."""
     work.avoid = {"e0"}
     play.policy.seek(work, play.now)
 
 
-def later(play, seconds=0.2):
+def next_after(play, seconds=0.2):
+    """Advance the clock and run a round."""
     play.now += seconds
     return play.next()
 
 
 def running(play):
+    """Return the outstanding requests by server."""
     return {load.server: load.running for load in play.policy.own_loads()}
 
 
-def test_another_engine_is_found_at_once_where_there_is_room(play):
-    is_silent(play, play.silent)
+def test_hedge_is_placed_at_once_where_there_is_room(play):
+    report_silent(play, play.silent)
     assert play.next() == {"r1": "e1"}
     assert running(play) == {"e0": 1, "e1": 1}
 
 
-def test_each_attempt_is_taken_off_its_own_engine(play):
-    is_silent(play, play.silent)
+def test_each_attempt_is_subtracted_at_its_own_engine(play):
+    report_silent(play, play.silent)
     play.next()
     ended = work_module.Ended("r1", "e1", wasted=True)
     play.policy.ended(ended, play.now)
@@ -51,8 +54,8 @@
     assert running(play) == {}
 
 
-def test_the_second_attempt_goes_on_where_the_first_one_ends(play):
-    is_silent(play, play.silent)
+def test_hedge_takes_over_when_the_first_attempt_ends(play):
+    report_silent(play, play.silent)
     play.next()
     play.policy.ended(work_module.Ended("r1", "e0", failed=True), play.now)
     assert running(play) == {"e1": 1}
@@ -61,47 +64,48 @@
     assert load.unread == 0
 
 
-def test_what_has_no_server_goes_before_one_that_is_slow(play):
+def test_queued_work_goes_before_the_hedge_of_a_slow_server(play):
     other = review(play, "b", avoid={"e0"})
     assert play.next() == {"r2": "e1"}
-    is_silent(play, play.silent)
+    report_silent(play, play.silent)
     review(play, "c", avoid={"e0"})
-    assert later(play) == {}
+    assert next_after(play) == {}
     play.policy.first_output(other.request_id, play.now)
-    assert later(play) == {"r3": "e1"}
+    assert next_after(play) == {"r3": "e1"}
 
 
-def test_one_whose_server_is_out_of_reach_goes_first(play):
+def test_hedge_of_an_unreachable_server_goes_before_queued_work(play):
     other = review(play, "b", avoid={"e0"})
     assert play.next() == {"r2": "e1"}
-    is_silent(play, play.silent)
+    report_silent(play, play.silent)
     review(play, "c", avoid={"e0"})
     play.chat(avoid={"e1"})
-    assert later(play) == {"r4": "e0"}
+    assert next_after(play) == {"r4": "e0"}
     unreachable = work_module.Ended("r4", "e0", failed=True, unreachable=True)
     play.policy.ended(unreachable, play.now)
     play.policy.first_output(other.request_id, play.now)
-    assert later(play) == {"r1": "e1"}
+    assert next_after(play) == {"r1": "e1"}
 
 
-def test_the_search_goes_on_until_there_is_room(play):
+def test_search_continues_until_there_is_room(play):
     other = review(play, "b", avoid={"e0"})
     play.next()
-    is_silent(play, play.silent)
+    report_silent(play, play.silent)
     for _ in range(20):
-        assert later(play) == {}
+        assert next_after(play) == {}
     play.policy.first_output(other.request_id, play.now)
-    assert later(play) == {"r1": "e1"}
+    assert next_after(play) == {"r1": "e1"}
 
 
-def test_a_search_that_is_over_places_nothing(play):
-    is_silent(play, play.silent)
+def test_cancelled_search_places_nothing(play):
+    report_silent(play, play.silent)
     play.policy.stop_seeking("r1")
     assert play.next() == {}
 
 
-def test_a_search_refuses_nothing_for_others():
-    # Ten searches are no queue: whoever comes is not told to come back.
+def test_searches_do_not_cause_refusals():
+    # Ten searches for a hedge do not count as a queue because of which a new
+    # request would be refused.
     play = shared_play.Play(count=1)
     for number in range(10):
         work = play.chat(max_attempts=2)
@@ -109,17 +113,17 @@
         work.avoid = {"e0"}
         play.policy.seek(work, play.now)
     late = play.chat(deadline=1.0)
-    assert later(play, 0.01) == {late.request_id: "e0"}
-    assert later(play) == {}
+    assert next_after(play, 0.01) == {late.request_id: "e0"}
+    assert next_after(play) == {}
 
 
-def test_second_servers_draw_on_the_budget_of_repeats():
+def test_hedges_count_against_the_retry_budget():
     play = shared_play.Play(count=2, slack=0.0)
     works = [play.chat(max_attempts=2, avoid={"e1"}) for _ in range(20)]
     play.next()
     for work in works:
         work.avoid = {"e0"}
         play.policy.seek(work, play.now)
-    # A fifth of twenty, used to four fifths.
+    # A fifth of twenty requests, of which four fifths are used.
     assert len(play.next()) == 3
-    assert later(play) == {}
+    assert next_after(play) == {}
--- a/tests/cover/test_service_traits.py
+++ b/tests/cover/test_service_traits.py
@@ -1,4 +1,4 @@
-"""What a whole configuration tells the policy of a service."""
+"""What the policy derives from a configuration about a service."""
 
 from dandeliontrail.components import intake
 from dandeliontrail.decisions import service_traits
@@ -16,22 +16,27 @@
     return revisions.Revision(1, "", list(routes), [service])
 
 
-def test_an_engine_whose_memory_is_not_told_has_the_usual_one():
-    # A configuration names engines by their slots alone.  With no memory at
-    # all every shared part counts as gone at once, and prompts that share
-    # one are read anew each time.
-    told = revision(engine=revisions.Engine(slots=64))
-    assert service_traits.kv_tokens(told) == service_traits.KV_TOKENS
-    assert service_traits.kv_tokens(None) == service_traits.KV_TOKENS
+def test_engine_without_configured_memory_has_the_default():
+    # A configuration gives only the slots of an engine.  With a memory of 0
+    # tokens every prefix would count as evicted at once, and prompts with a
+    # common prefix would be prefilled anew each time.
+    slots_only = revision(engine=revisions.Engine(slots=64))
+    assert (
+        service_traits.max_kv_tokens(slots_only)
+        == service_traits.DEFAULT_KV_TOKENS
+    )
+    assert (
+        service_traits.max_kv_tokens(None) == service_traits.DEFAULT_KV_TOKENS
+    )
     large = revision(engine=revisions.Engine(64, 900_000))
-    assert service_traits.kv_tokens(large) == 900_000
+    assert service_traits.max_kv_tokens(large) == 900_000
 
 
-def test_steps_of_urgency_are_those_that_an_engine_is_told():
-    # Routes have priorities 2 and 9.  Engines are told the same of both, so
-    # the first is not read sooner and may not find seven times as much to
-    # read before it.
-    found = service_traits.read(
+def test_priority_steps_are_those_that_engines_are_told():
+    # Routes have priorities 2 and 9, for which engines are told the same.  So
+    # the first is not prefilled sooner, and must not be placed behind seven
+    # times as many tokens.
+    traits = service_traits.read_traits(
         revision([route("a", 2), route("b", 9)]), "llm"
     )
     works = [
@@ -39,7 +44,9 @@
         for item in (route("a", 2), route("b", 9))
     ]
     assert works[0].start_priority == works[1].start_priority
-    assert {work.route_priority for work in works} == {found.least_urgent}
+    assert {work.route_priority for work in works} == {
+        traits.least_urgent_step
+    }
 
 
 def _received():
--- a/tests/cover/test_shared_policy.py
+++ b/tests/cover/test_shared_policy.py
@@ -1,4 +1,4 @@
-"""Where requests go on engines that many instances share."""
+"""Placement by the ``Shared`` policy on engines that instances share."""
 
 import collections
 import types
@@ -17,7 +17,7 @@
 from tests.common import shared_play
 
 
-def test_requests_with_one_shared_part_go_to_one_engine():
+def test_requests_with_one_shared_prefix_go_to_one_engine():
     play = shared_play.Play()
     chosen = set()
     for number in range(8):
@@ -29,32 +29,32 @@
     assert len(chosen) == 1
 
 
-def test_an_instance_that_has_just_started_asks_the_same_engine():
-    # Two instances see a part for the first time at once.  Each sending it
-    # elsewhere would have it read twice.
+def test_instances_choose_the_same_engine_for_a_new_prefix():
+    # Two instances get a prefix for the first time at once.  With different
+    # engines, it would be prefilled twice.
     first, second = shared_play.Play(), shared_play.Play()
-    one, other = first.review(5), second.review(5)
-    assert first.next()[one.request_id] == second.next()[other.request_id]
+    work, other = first.review(5), second.review(5)
+    assert first.next()[work.request_id] == second.next()[other.request_id]
 
 
-def test_what_others_sent_is_known_here():
+def test_prefixes_sent_by_other_instances_count_as_cached():
     play = shared_play.Play()
     names = [
-        item.announcement.backend_server for item in play.directory.servers
+        server.announcement.backend_server for server in play.directory.servers
     ]
-    kept = affinity.Groups()
-    kept.follow("llm", sorted(names))
-    far = kept.ranked("t7", False)[-1]
+    groups = affinity.EngineGroups()
+    groups.set_engines("llm", sorted(names))
+    last = groups.ranked("t7", False)[-1]
     play.policy.heard_reads(
-        [server_loads.Read(far, [("t7", shared_play.LONG)])], 0.0
+        [server_loads.Read(last, [("t7", shared_play.PREFIX_TOKENS)])], 0.0
     )
     work = play.review(7)
-    assert play.next()[work.request_id] == far
+    assert play.next()[work.request_id] == last
 
 
-def test_what_all_know_is_not_told_again():
-    # Ninety instances use one part within seconds.  Each telling all others
-    # of each use took half of a small link.
+def test_use_of_a_known_prefix_is_not_announced_again_at_once():
+    # Ninety instances use one prefix within seconds.  When each announced
+    # each use to all others, that took half of a 5 Mbit/s link.
     play = shared_play.Play()
     play.review(7)
     play.next()
@@ -64,7 +64,7 @@
     other.review(7)
     other.next()
     assert other.policy.take_reads() == []
-    other.now += read_news.RETELL_SECONDS + 1.0
+    other.now += read_news.REANNOUNCE_SECONDS + 1.0
     for attempt in list(other.policy._attempts):
         other.policy.first_output(attempt, other.now)
     other.review(7)
@@ -73,23 +73,24 @@
 
 
 def test_a_burst_of_long_prompts_waits_here_and_not_at_the_engines():
-    # Forty long prompts come within a second.  Given to the engines at once,
+    # Forty long prompts come within a second.  If they were placed at once,
     # each engine would make one token in the time of fifteen until all are
-    # read, and streams that began before would run into their time limits.
+    # prefilled, and streams that began before would exceed their deadlines.
     play = shared_play.Play()
-    for thing in range(40):
-        play.review(thing)
+    for prefix_id in range(40):
+        play.review(prefix_id)
     placed = play.next()
     unread = {}
     for load in play.policy.own_loads():
         unread[load.server] = load.unread
     assert 4 <= len(placed) <= 12
     assert (
-        max(unread.values()) <= engine_choice.UNREAD_LIMIT + shared_play.LONG
+        max(unread.values())
+        <= engine_choice.MAX_UNREAD_TOKENS + shared_play.PREFIX_TOKENS
     )
 
 
-def test_while_a_large_prompt_waits_smaller_ones_wait_for_the_same_room():
+def test_while_a_large_prompt_waits_smaller_ones_wait_too():
     play = shared_play.Play(count=2)
     busy = [server_loads.Load(f"e{n}", 2, 3_000) for n in range(2)]
     play.loads.take("other", "fd1", busy, 0.0)
@@ -102,7 +103,7 @@
     assert small.request_id not in placed
 
 
-def test_without_a_large_prompt_smaller_ones_fill_an_engine_up():
+def test_without_a_large_prompt_smaller_ones_fill_an_engine():
     play = shared_play.Play(count=2)
     busy = [server_loads.Load(f"e{n}", 2, 1_500) for n in range(2)]
     play.loads.take("other", "fd1", busy, 0.0)
@@ -120,7 +121,7 @@
     assert work.request_id in play.next()
 
 
-def test_an_engine_that_has_read_gets_the_next_prompt():
+def test_an_engine_that_has_prefilled_gets_the_next_prompt():
     play = shared_play.Play(count=2)
     works = [play.review(1) for _ in range(9)]
     placed = play.next()
@@ -131,7 +132,7 @@
     assert len(works) == 9
 
 
-def test_the_more_urgent_goes_first_and_the_late_last():
+def test_urgent_work_goes_first_and_late_work_last():
     play = shared_play.Play(count=2)
     filler = [play.review(0) for _ in range(9)]
     play.next()
@@ -147,16 +148,16 @@
         assert order.index(fresh.request_id) == 1
 
 
-def test_close_streams_stay_away_from_long_prompts():
-    # A chat whose pauses must stay below 0.3 s shares an engine with a
-    # prompt of 16,000 tokens, which takes that long to read.
+def test_low_latency_streams_avoid_engines_with_long_prompts():
+    # A chat whose gaps must stay below 0.3 s would share an engine with a
+    # prompt of 16,000 tokens, which takes that long to prefill.
     play = shared_play.Play(count=9)
     reviews = set()
-    for thing in range(6):
-        work = play.review(thing)
+    for prefix_id in range(6):
+        work = play.review(prefix_id)
         placed = play.next()
         while work.request_id not in placed:
-            # Its two engines have prompts to read, and read them now.
+            # Its candidate engines finish the prompts that they have.
             for attempt in list(play.policy._attempts):
                 play.policy.first_output(attempt, play.now)
             placed = play.next()
@@ -168,7 +169,7 @@
     assert not chats & reviews
 
 
-def test_close_streams_overflow_to_the_other_engines():
+def test_low_latency_streams_overflow_to_the_other_engines():
     play = shared_play.Play(count=6)
     chats = set()
     for _ in range(300):
@@ -177,11 +178,12 @@
     assert len(chats) > 1
 
 
-def test_close_streams_leave_an_engine_whose_slots_are_taken():
-    # Many chats come at once.  The engine that is kept for them has 64 slots;
-    # the 65th request waits there until one is free, while the others have
-    # half of theirs.  Before, 98 were sent to it before one went elsewhere,
-    # and half of their first tokens were late.
+def test_low_latency_streams_leave_an_engine_whose_slots_are_taken():
+    # Many chats come at once.  The engine reserved for them has 64 slots, so
+    # the 65th request waits there for a free one, while the other engines
+    # have half of theirs free.  Without a cost for that wait, 98 requests
+    # went there before one went elsewhere, and half of the first tokens were
+    # late.
     play = shared_play.Play(count=5)
     places = collections.Counter()
     for _ in range(110):
@@ -193,23 +195,26 @@
     assert len(places) > 1
 
 
-def test_of_engines_with_as_much_to_do_the_own_domain_is_asked():
-    # The first two engines in the order of a part's hash are idle, one of
-    # them beyond a cut that may come at any moment.  Before, the order alone
-    # decided, and two in three prompts went to another domain.
+def test_of_equally_loaded_engines_one_of_the_own_domain_is_chosen():
+    # Both candidate engines of a prefix are idle, and one of them is in
+    # another domain, from which a partition may cut it off.  When the
+    # rendezvous order alone decided, two in three prompts went to another
+    # domain.
     play = shared_play.Play(count=6)
     own = 0
     choices = 0
-    for thing in range(200):
+    for prefix_id in range(200):
         names = [f"e{number}" for number in range(6)]
-        groups = affinity.Groups()
-        groups.follow("llm", names)
-        homes = groups.ranked(f"t{thing}", False)[: affinity.HOMES]
-        domains = {int(name[1:]) % 3 for name in homes}
+        groups = affinity.EngineGroups()
+        groups.set_engines("llm", names)
+        candidates = groups.ranked(f"t{prefix_id}", False)[
+            : affinity.CANDIDATES_PER_PREFIX
+        ]
+        domains = {int(name[1:]) % 3 for name in candidates}
         if 0 not in domains or len(domains) < 2:
             continue
         choices += 1
-        work = play.review(thing)
+        work = play.review(prefix_id)
         name = play.next()[work.request_id]
         own += int(name[1:]) % 3 == 0
         play.policy.first_output(work.request_id, play.now)
@@ -218,9 +223,9 @@
     assert own == choices
 
 
-def test_a_queue_that_takes_too_long_refuses_with_its_time():
-    # A burst lasts beyond what the engines can read.  The last in the queue
-    # learn at once when to come back, instead of when their time is up.
+def test_a_queue_that_is_too_long_refuses_with_a_retry_after():
+    # A burst exceeds what the engines can prefill.  The last in the queue are
+    # refused at once with a Retry-After, and not only at their deadline.
     play = shared_play.Play(count=2)
     refused = {}
     for step in range(60):
@@ -242,7 +247,7 @@
         assert found.nothing.retry_after > 0
 
 
-def test_an_unreachable_server_is_left_alone_for_a_while():
+def test_an_unreachable_server_is_avoided_for_a_while():
     play = shared_play.Play(count=2)
     work = play.review(1)
     server = play.next()[work.request_id]
@@ -259,7 +264,7 @@
     assert later.request_id in play.next()
 
 
-def test_without_a_usable_server_the_refusal_comes_soon():
+def test_without_a_usable_server_work_is_refused_soon():
     play = shared_play.Play(count=1)
     work = play.review(1)
     server = play.next()[work.request_id]
@@ -271,7 +276,7 @@
     )
     waiting = play.review(2)
     assert play.next() == {}
-    play.now += shared.PATIENCE + 0.01
+    play.now += shared.NO_SERVER_WAIT_SECONDS + 0.01
     assert waiting.request_id in play.next()
 
 
@@ -286,11 +291,12 @@
         play.policy.first_output(work.request_id, play.now)
 
 
-def test_repeats_keep_within_the_budget():
+def test_retries_stay_within_the_budget():
     play = shared_play.Play(slack=58.0)
     works = [play.review(n) for n in range(50)]
     allowed = [bool(play.policy.retry(work, play.now)) for work in works]
-    # A tenth of 58, and a fifth of the requests, less the reserve.
+    # A ninth of the slack of 58 and a fifth of the requests, of which four
+    # fifths are used.
     assert sum(allowed) == int(0.8 * (0.2 * 50 + 58.0 / 9))
 
 
@@ -303,7 +309,7 @@
     assert (held.running("e0"), held.unread("e0")) == (1, 100)
 
 
-def test_a_relay_sums_up_its_domain_and_all():
+def test_a_relay_sums_the_loads_of_its_domain_and_of_all():
     held = server_loads.LoadTable()
     held.take("a", "fd0", [server_loads.Load("e0", 3, 500)], 0.0)
     held.take("fd1", "fd1", [server_loads.Load("e0", 10, 1000)], 0.0)
@@ -318,16 +324,16 @@
 
 
 def test_an_instance_that_becomes_a_relay_counts_nobody_twice():
-    # It heard the sum of all from the relay before it, and now hears each
-    # instance for itself: its domain would be told of twice the work there
-    # is, and leave engines idle.
+    # It got the sum of all from the former relay, and now gets each
+    # instance's own loads.  Counted twice, the work would seem twice what it
+    # is, and its domain would leave engines idle.
     held = server_loads.LoadTable()
     held.take(server_loads.ALL, "fd0", [server_loads.Load("e0", 3, 500)], 0.0)
     held.take("a", "fd0", [server_loads.Load("e0", 3, 500)], 0.1)
     assert held.sum_of_all([]) == [server_loads.Load("e0", 3, 500)]
 
 
-def test_only_changes_that_matter_are_told_at_once():
+def test_only_large_changes_are_announced_at_once():
     held = [server_loads.Load("e0", 10, 5000)]
     assert not server_loads.differ(held, held)
     near = [server_loads.Load("e0", 11, 5900)]
@@ -338,7 +344,7 @@
 
 
 def relay_of_two_domains():
-    """Return the component of the first relay of ``fd0``."""
+    """Return the ``ServerLoads`` component of the first relay of ``fd0``."""
     far = types.SimpleNamespace(address="far", failure_domain="fd1")
     members = types.SimpleNamespace(
         full_mesh=lambda: False,
@@ -361,10 +367,10 @@
 NEAR = messages.Sender("a", "near", "fd0", "r", 1)
 
 
-def test_relays_do_not_tell_each_other_the_same_for_ever():
-    # A relay passes on to other relays what one of them told it, and hears
-    # it again from them: every use of a part goes round for good, and the
-    # links of the relays are full.
+def test_relays_do_not_pass_on_what_another_relay_announced():
+    # If a relay passed on to other relays what one of them announced, it
+    # would get it back from them: each announcement would circulate for ever
+    # and fill the links of the relays.
     relay = relay_of_two_domains()
     outside = server_loads.Read("e0", [("x", 9)])
     inside = server_loads.Read("e0", [("y", 9)])
@@ -382,10 +388,10 @@
     assert [item.message.reads for item in again] == [[], []]
 
 
-def test_relay_answers_with_the_work_of_all_and_tells_the_idle_nothing():
-    # A relay told each of 39 instances of its domain five times a second
-    # what all others do, whether they had work or not: 235 batches a second
-    # from an instance of half a core that serves callers itself.
+def test_relay_answers_with_all_loads_and_sends_the_idle_nothing():
+    # When a relay sent the loads of all to each of the 39 instances of its
+    # domain five times a second, whether they had work or not, it sent 235
+    # batches a second, with half a core and callers of its own to serve.
     relay = relay_of_two_domains()
     loads = [server_loads.Load("e0", 2, 500)]
     relay._heard(FAR, server_loads.ServerLoads(loads, [], "fd1"), 0.0)
@@ -394,15 +400,16 @@
     assert answer.message.loads == [server_loads.Load("e0", 3, 600)]
     (outer,) = relay.tick(0.2)
     assert (outer.address, outer.message.loads) == ("far", own)
-    # All of it expires, which the other domain is told once.
+    # All loads expire, which is announced once to the other domain.
     sent = [relay.tick(1.0 + step / 10.0) for step in range(100)]
     assert [len(item) for item in sent].count(1) <= 3
     assert sent[-1] == []
 
 
-def test_instance_that_has_just_started_is_told_what_engines_hold():
-    # Half of all entries are killed and start again.  Each knows nothing of
-    # what engines hold, and its first prompts are read again somewhere else.
+def test_instance_that_has_just_started_gets_recent_prefixes():
+    # Half of all instances are killed and restart.  If they did not learn
+    # which engines have which prefixes, their first prompts would be
+    # prefilled again at other engines.
     relay = relay_of_two_domains()
     read = server_loads.Read("e0", [("y", 9)])
     relay._heard(NEAR, server_loads.ServerLoads([], [read]), 0.0)
@@ -420,8 +427,8 @@
 
 
 def test_a_second_relay_does_not_count_the_other_domains_twice():
-    # The relay that stands by hears the sum of all from the first, and the
-    # sum of another domain from a relay that takes it for the first.
+    # The standby relay gets the sum of all from the first relay, and the sum
+    # of another domain from a relay there that takes it for the first.
     standby = relay_of_two_domains()
     standby._state.members.is_first_relay = lambda: False
     loads = [server_loads.Load("e0", 2, 500)]
@@ -432,11 +439,11 @@
 
 
 @pytest.mark.parametrize("count", [1, 2, 6, 9, 45])
-def test_some_engine_is_left_for_each_group(count):
-    groups = affinity.Groups()
-    groups.follow("s", [f"e{n}" for n in range(count)])
-    assert groups.members(close=True)
-    assert groups.members(close=False)
+def test_each_kind_of_stream_has_an_engine(count):
+    groups = affinity.EngineGroups()
+    groups.set_engines("s", [f"e{n}" for n in range(count)])
+    assert groups.members(low_latency=True)
+    assert groups.members(low_latency=False)
 
 
 def idle(name):
@@ -444,55 +451,56 @@
 
 
 @pytest.mark.parametrize("count", [1, 2, 6, 9, 45])
-def test_a_flood_of_close_streams_leaves_engines_for_the_others(count):
-    groups = affinity.Groups()
-    groups.follow("s", [f"e{n}" for n in range(count)])
+def test_a_burst_of_low_latency_streams_leaves_engines_for_others(count):
+    groups = affinity.EngineGroups()
+    groups.set_engines("s", [f"e{n}" for n in range(count)])
     for step in range(100):
         groups.resize(lambda name: 1000, idle, 64, step * 1.0)
-    assert 2 * len(groups.members(close=False)) >= count
+    assert 2 * len(groups.members(low_latency=False)) >= count
 
 
-def test_engines_are_given_back_one_by_one():
-    # Long prompts that move to another engine are read again there, so a
+def test_reserved_engines_are_released_one_by_one():
+    # Long prompts that move to another engine are prefilled again there, so a
     # quiet second must not move many of them at once.
-    groups = affinity.Groups()
-    groups.follow("s", [f"e{n}" for n in range(40)])
+    groups = affinity.EngineGroups()
+    groups.set_engines("s", [f"e{n}" for n in range(40)])
     for step in range(20):
         groups.resize(lambda name: 40, idle, 64, step * 0.5)
-    others = [len(groups.members(close=False))]
+    others = [len(groups.members(low_latency=False))]
     for step in range(20, 90):
         groups.resize(idle, idle, 64, step * 0.5)
-        others.append(len(groups.members(close=False)))
+        others.append(len(groups.members(low_latency=False)))
     assert others[0] == 20 and others[-1] == 32
     steps = [after - before for before, after in zip(others, others[1:])]
     assert set(steps) == {0, 1}
 
 
-def test_close_streams_keep_their_engines_when_many_engines_are_lost():
+def test_low_latency_streams_keep_engines_when_many_are_lost():
     # All spot servers of two failure domains are taken away: 16 engines of
-    # 46 are left.  A fifth of these is not enough for the chats that the
-    # nine engines served before.
-    groups = affinity.Groups()
-    groups.follow("s", [f"e{n}" for n in range(46)])
+    # 46 are left.  A fifth of these is not enough for the chats that nine
+    # engines served before.
+    groups = affinity.EngineGroups()
+    groups.set_engines("s", [f"e{n}" for n in range(46)])
     for step in range(20):
         groups.resize(lambda name: 12, idle, 64, step * 0.5)
-    groups.follow("s", [f"e{n}" for n in range(16)])
-    kept = 16 - len(groups.members(close=False))
+    groups.set_engines("s", [f"e{n}" for n in range(16)])
+    reserved = 16 - len(groups.members(low_latency=False))
     for step in range(20, 60):
-        each = 108 / kept
-        groups.resize(lambda name: each, idle, 64, step * 0.5)
-        kept = 16 - len(groups.members(close=False))
-    assert kept >= 4
-
-
-def test_no_more_engines_are_kept_while_long_prompts_wait_too():
-    # Chats and reviews triple at once.  What the chats gain by further
-    # engines, the reviews lose, which are worth more and read for longer.
-    groups = affinity.Groups()
-    groups.follow("s", [f"e{n}" for n in range(40)])
+        running = 108 / reserved
+        groups.resize(lambda name: running, idle, 64, step * 0.5)
+        reserved = 16 - len(groups.members(low_latency=False))
+    assert reserved >= 4
+
+
+def test_no_more_engines_are_reserved_while_long_prompts_wait_too():
+    # Chats and reviews triple at once.  What the chats would gain by further
+    # engines, the reviews would lose, which are worth more and take longer
+    # to prefill.
+    groups = affinity.EngineGroups()
+    groups.set_engines("s", [f"e{n}" for n in range(40)])
     for step in range(60):
         groups.resize(lambda name: 40, lambda name: 16_000, 64, step * 0.5)
-        assert len(groups.members(close=False)) == 32
+        assert len(groups.members(low_latency=False)) == 32
     for step in range(60, 80):
         groups.resize(lambda name: 40, idle, 64, step * 0.5)
-    assert len(groups.members(close=False)) < 32
+    assert len(groups.members(low_latency=False)) < 32
