--- a/tests/cover/test_crash_suspects.py
+++ b/tests/cover/test_crash_suspects.py
@@ -115,7 +115,7 @@
 
 
 @given(STEPS, st.integers(0, 2**32))
-def test_tables_agree_whatever_the_order_of_the_news(steps, seed):
+def test_tables_converge_whatever_the_order_of_messages(steps, seed):
     rng = random.Random(seed)
     tables = [server_ends.EndsTable() for _ in range(3)]
     for fingerprint, name in steps:
@@ -124,11 +124,11 @@
             table.clear(fingerprint, NOW, NOW)
         else:
             table.note(fingerprint, (name, 0), NOW, NOW)
-        _pass_on(rng.choice(tables), rng.choice(tables))
+        _send_records(rng.choice(tables), rng.choice(tables))
     for _ in range(2):
         for one in tables:
             for other in tables:
-                _pass_on(one, other)
+                _send_records(one, other)
     for table in tables:
         table.settle(NOW + server_ends.SETTLE_SECONDS)
     assert len({table.digest.root for table in tables}) == 1
@@ -136,15 +136,16 @@
         assert len({is_held(table, fingerprint) for table in tables}) == 1
 
 
-def _pass_on(one, other):
-    if one is other:
+def _send_records(sender, receiver):
+    """Apply all records of one table to another."""
+    if sender is receiver:
         return
-    for fingerprint, found in one.suspects.items():
-        other.enter(fingerprint, NOW, NOW)
-        if found.served:
-            other.clear(fingerprint, NOW, NOW)
-        for incarnation in list(found.ends):
-            other.note(fingerprint, incarnation, NOW, NOW)
+    for fingerprint, record in sender.suspects.items():
+        receiver.enter(fingerprint, NOW, NOW)
+        if record.served:
+            receiver.clear(fingerprint, NOW, NOW)
+        for incarnation in list(record.ends):
+            receiver.note(fingerprint, incarnation, NOW, NOW)
 
 
 def test_forgotten_record_does_not_come_back():
--- a/tests/cover/test_shared_policy.py
+++ b/tests/cover/test_shared_policy.py
@@ -232,19 +232,19 @@
         play.now = step * 0.1
         play.review(step, deadline=4.0)
         play.review(step + 100, deadline=4.0)
-        for request_id, found in play.next().items():
-            if isinstance(found, str):
+        for request_id, decision in play.next().items():
+            if isinstance(decision, str):
                 if step % 3 == 0:
                     play.policy.first_output(request_id, play.now)
             else:
-                refused[request_id] = found
+                refused[request_id] = decision
     assert refused
-    for found in refused.values():
-        assert found.nothing.reason in (
+    for refusal in refused.values():
+        assert refusal.nothing.reason in (
             sentinels.Reason.QUEUE_FULL,
             sentinels.Reason.ALL_BUSY,
         )
-        assert found.nothing.retry_after > 0
+        assert refusal.nothing.retry_after > 0
 
 
 def test_an_unreachable_server_is_avoided_for_a_while():
@@ -376,9 +376,9 @@
     inside = server_loads.Read("e0", [("y", 9)])
     relay._heard(FAR, server_loads.ServerLoads([], [outside], "fd1"), 0.0)
     relay._heard(NEAR, server_loads.ServerLoads([], [inside]), 0.0)
-    (told,) = relay.tick(1.0)
-    assert told.address == "far"
-    assert told.message.reads == [inside]
+    (sent,) = relay.tick(1.0)
+    assert sent.address == "far"
+    assert sent.message.reads == [inside]
     other = messages.Sender("c", "near2", "fd0", "r", 1)
     (answer,) = relay._heard(other, server_loads.ServerLoads([]), 1.0)
     assert answer.address == "near2"
