--- a/packages/dandeliontrail/src/dandeliontrail/decisions/baselines.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/baselines.py
@@ -1,4 +1,4 @@
-"""Simple policies to measure against; the first is also a fallback."""
+"""Simple policies to compare with; the first is also a fallback."""
 
 import collections
 
@@ -6,17 +6,18 @@
 from . import policy
 from . import work as work_module
 
-# A queue longer than this holds more than a minute of work at any size
-# that one instance serves, so that a request at its end is late for sure.
-LONGEST_QUEUE = 10_000
-RETRY_AFTER = 1.0
+# A longer queue holds more than a minute of work for any share of the load
+# that one instance serves, so that a request at its end would certainly be
+# late.
+MAX_QUEUE_LENGTH = 10_000
+RETRY_AFTER_SECONDS = 1.0
 
 
 class PriorityLeastOutstanding(policy.Policy):
     """Strict priority; each request goes to the least busy server.
 
-    It looks at this instance's own outstanding requests only.  It protects
-    high classes and starves low ones, which is why it is a baseline.
+    It considers only this instance's own outstanding requests. It protects
+    high classes and starves low ones, which is why it serves as a baseline.
     """
 
     def __init__(self):
@@ -27,33 +28,39 @@
     def offer(self, work, now):
         """Queue the work unless the queue of its priority is full."""
         queue = self._queues.setdefault(work.priority, collections.deque())
-        if len(queue) >= LONGEST_QUEUE:
-            return sentinels.Nothing(sentinels.Reason.QUEUE_FULL, RETRY_AFTER)
+        if len(queue) >= MAX_QUEUE_LENGTH:
+            return sentinels.Nothing(
+                sentinels.Reason.QUEUE_FULL, RETRY_AFTER_SECONDS
+            )
         queue.append(work)
         return work
 
     def next(self, now, directory):
-        """Place from the highest priority down while servers have room."""
-        decided = []
+        """Place by descending importance while servers have free slots."""
+        decisions = []
         for priority in sorted(self._queues):
-            self._drain(self._queues[priority], now, directory, decided)
-        return decided
+            self._place_queue(
+                self._queues[priority], now, directory, decisions
+            )
+        return decisions
 
-    def _drain(self, queue, now, directory, decided):
+    def _place_queue(self, queue, now, directory, decisions):
         for _ in range(len(queue)):
             work = queue.popleft()
             if now >= work.deadline:
-                decided.append(_late(work))
+                decisions.append(_refuse_expired(work))
                 continue
             server = self._pick(work, now, directory)
             if not server:
                 queue.append(work)
                 continue
-            self._place(work, server, decided)
+            self._place(work, server, decisions)
 
     def _pick(self, work, now, directory):
-        best = sentinels.Nothing(sentinels.Reason.ALL_BUSY, RETRY_AFTER)
-        least = None
+        best = sentinels.Nothing(
+            sentinels.Reason.ALL_BUSY, RETRY_AFTER_SECONDS
+        )
+        lowest = None
         servers = directory.eligible(work.class_name, work.model, work.service)
         for server in servers:
             name = server.announcement.backend_server
@@ -62,31 +69,31 @@
                 continue
             if count >= server.announcement.slots:
                 continue
-            if least is None or count < least:
-                best, least = name, count
+            if lowest is None or count < lowest:
+                best, lowest = name, count
         return best
 
-    def _place(self, work, server, decided):
+    def _place(self, work, server, decisions):
         self._outstanding[server] += 1
         self._running[work.request_id] = server
-        decided.append(work_module.Placement(work, server))
+        decisions.append(work_module.Placement(work, server))
 
     def first_output(self, request_id, now):
-        """Learn nothing: this policy does not look at pace."""
+        """Do nothing: this policy does not measure pace."""
 
     def ended(self, ended, now):
-        """Count the server as less busy."""
+        """Release the server's slot."""
         server = self._running.pop(ended.request_id, None)
         if server is not None:
             self._outstanding[server] -= 1
 
     def requeue(self, work, now):
-        """Put the work at the front of its priority."""
+        """Put the work at the front of the queue of its priority."""
         queue = self._queues.setdefault(work.priority, collections.deque())
         queue.appendleft(work)
 
     def withdraw(self, request_id):
-        """Take the work out of its queue, if it waits in one."""
+        """Remove the work if it is queued; return it or ``None``."""
         for queue in self._queues.values():
             for work in queue:
                 if work.request_id == request_id:
@@ -95,14 +102,14 @@
         return None
 
     def waiting(self):
-        """Count the queued work by class."""
-        counted = collections.Counter()
+        """Return the number of queued requests by class."""
+        counts = collections.Counter()
         for queue in self._queues.values():
-            counted.update(work.class_name for work in queue)
-        return dict(counted)
+            counts.update(work.class_name for work in queue)
+        return dict(counts)
 
 
-def _late(work):
+def _refuse_expired(work):
     return work_module.Refusal(
-        work, sentinels.Nothing(sentinels.Reason.DEADLINE, RETRY_AFTER)
+        work, sentinels.Nothing(sentinels.Reason.DEADLINE, RETRY_AFTER_SECONDS)
     )
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/directory.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/directory.py
@@ -1,16 +1,17 @@
-"""Which backend servers may take which work.
+"""Which backend servers may run which work.
 
-The answer depends on the pools of a class and on what a server has loaded,
-both of which change seldom, so it is kept until one of them changes.  A
-load report alone keeps it: at 2,500 servers that report each second, a
-directory rebuilt on every report would cost more than the decisions.
+The answer depends on the pools of a class and on what each server has loaded.
+Both change seldom, so results are cached until one of them changes. A load
+report alone does not invalidate the cache: with 2,500 servers that report
+every second, rebuilding the lists on every report would cost more than the
+placement decisions.
 """
 
 from ..resources import specs
 
 
 def pool_has(select, announcement):
-    """Tell whether an announcement matches every given field."""
+    """Tell whether an announcement matches every given selector field."""
     if select.kind and select.kind != announcement.kind:
         return False
     if select.service and select.service != announcement.service:
@@ -38,7 +39,7 @@
 
 
 def signature(announcement):
-    """Return what of an announcement decides where it is listed."""
+    """Return the fields of an announcement that affect the lists."""
     return (
         announcement.kind,
         announcement.service,
@@ -52,18 +53,18 @@
 
 
 class Directory:
-    """Servers by class and target, built on first use."""
+    """Lists of servers by class and target, built on first use."""
 
-    __slots__ = ("_registry", "_store", "_lists")
+    __slots__ = ("_registry", "_store", "_cache")
 
     def __init__(self, registry, store):
         self._registry = registry
         self._store = store
-        self._lists = {}
+        self._cache = {}
 
     def invalidate(self):
-        """Forget the lists, after a change of servers or of objects."""
-        self._lists.clear()
+        """Drop the cached lists after a change of servers or objects."""
+        self._cache.clear()
 
     def server(self, name):
         """Return the server called ``name``, or ``None``."""
@@ -72,52 +73,52 @@
     def eligible(self, class_name, model, service):
         """Return the servers that a class may use for a target.
 
-        The list may hold servers whose lease has lapsed since it was
-        built: whoever picks one checks ``serves(now)``.
+        The list may hold servers whose lease has lapsed since it was built:
+        the caller checks ``serves(now)`` on the server that it picks.
         """
         key = (class_name, model, service)
-        held = self._lists.get(key)
-        if held is None:
-            held = self._build(class_name, model, service)
-            self._lists[key] = held
-        return held
+        servers = self._cache.get(key)
+        if servers is None:
+            servers = self._find_servers(class_name, model, service)
+            self._cache[key] = servers
+        return servers
 
     def of_service(self, service):
-        """Return the servers of a service, for routes, which need no pool.
+        """Return the servers of a service, for routes, which use no pools.
 
-        The list may hold servers whose lease has lapsed since.
+        The list may hold servers whose lease has lapsed since it was built.
         """
         key = ("", "", service)
-        held = self._lists.get(key)
-        if held is None:
-            held = [
+        servers = self._cache.get(key)
+        if servers is None:
+            servers = [
                 server
                 for server in self._registry.servers.values()
                 if server.announcement.service == service
                 and not server.announcement.leaving
             ]
-            self._lists[key] = held
-        return held
+            self._cache[key] = servers
+        return servers
 
-    def _build(self, class_name, model, service):
+    def _find_servers(self, class_name, model, service):
         spec = self._store.spec(specs.Kind.REQUEST_CLASSES, class_name)
         pools = self._pools(spec)
         return [
             server
             for server in self._registry.servers.values()
-            if _offers(server.announcement, model, service)
-            and _in_any(pools, server.announcement)
+            if _can_serve(server.announcement, model, service)
+            and _in_any_pool(pools, server.announcement)
         ]
 
     def _pools(self, spec):
         names = spec.pools if spec else []
-        found = [
+        pools = [
             self._store.spec(specs.Kind.BACKEND_POOLS, name) for name in names
         ]
-        return [pool for pool in found if pool]
+        return [pool for pool in pools if pool]
 
 
-def _offers(announcement, model, service):
+def _can_serve(announcement, model, service):
     if announcement.leaving:
         return False
     if service:
@@ -125,5 +126,5 @@
     return has_model(announcement, model)
 
 
-def _in_any(pools, announcement):
+def _in_any_pool(pools, announcement):
     return any(pool_has(pool.select, announcement) for pool in pools)
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/model_orders.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/model_orders.py
@@ -1,15 +1,14 @@
-"""Which models each engine of a failure domain should load or drop.
-
-The declared placements are compared with what the engines report and with
-what was ordered and is awaited.  The result is a list of orders to give
-now, and for each placement the reason why it is not yet as declared.
-
-The load it is made for: a few hundred engines in a failure domain, some of
-which crash in the middle of a load or report it late; a new version of a
-model that turns out worse; a failure domain that comes back with all its
-engines cold.  The harm it prevents: two orders for one purpose, the last
-copy of a model taken from its callers, and so many engines busy with loads
-at once that a protected class lacks capacity.
+"""Which models each engine of a failure domain should load or unload.
+
+The declared placements are compared with what the engines report and with the
+orders that are pending. The result is a list of orders to give now and, for
+each placement, the reason why it is not yet as declared.
+
+A failure domain has a few hundred engines. Some crash in the middle of a load
+or report it late; a new version of a model may perform worse; a whole domain
+may come back with nothing loaded. The plan must not give two orders for the
+same purpose, must not unload the last copy of a model in use, and must not
+keep so many engines busy with loads that a protected class lacks capacity.
 """
 
 import enum
@@ -17,23 +16,25 @@
 
 import msgspec
 
-# An engine that takes a load needs memory bandwidth for it and serves more
-# slowly; a tenth of the engines at a time (and at least one) keeps the loss
-# within the tenth of capacity that queues absorb.
-DISTURBED_SHARE = 0.1
-# A load is given up when no report shows it after this many seconds: 400 GB
-# of weights at 1 GB/s are 400 s, and reports lag by seconds.
+# Share of the engines (at least one engine) that may be disturbed at a time.
+# Loading takes memory bandwidth, so the engine serves more slowly; at a tenth
+# of the engines the loss stays within the tenth of capacity that queues
+# absorb.
+MAX_DISTURBED_SHARE = 0.1
+# A load is given up if no report shows it after this many seconds. 400 GB of
+# weights at 1 GB/s take 400 s, and reports lag by seconds.
 LONGEST_LOAD = 900.0
-# After a failed load the same engine is tried again no sooner than this.
+# Seconds before a failed order is repeated on the same engine.
 RETRY_AFTER = 60.0
-# A roll-out stops when the new version's attainment is lower than the old
-# one's by more than this, over at least the given number of requests.
-ATTAINMENT_DROP = 0.05
-ATTAINMENT_SAMPLE = 50
+# A roll-out is halted if the new version's attainment is lower than the old
+# one's by more than this, with at least the given number of requests for each
+# version.
+MAX_ATTAINMENT_DROP = 0.05
+MIN_ATTAINMENT_REQUESTS = 50
 
 
 class OrderKind(enum.Enum):
-    """What an engine is told to do, in the words of the contract."""
+    """What an engine is ordered to do; the values are sent to engines."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -41,7 +42,7 @@
 
 
 class Order(msgspec.Struct, frozen=True):
-    """One order, which is idempotent: it names a state, not a step."""
+    """One order. It is idempotent: it names a state, not a step."""
 
     kind: OrderKind
     server: str
@@ -52,23 +53,23 @@
 
     @property
     def key(self):
-        """Return the name by which a repeated order is told."""
+        """Return the key that identifies repetitions of the order."""
         parts = [self.kind.value, self.server, self.model, self.version]
         parts += [self.adapter, self.role]
         return "/".join(parse.quote(part, safe="") for part in parts)
 
 
 def parse_key(key):
-    """Return the order that ``key`` names."""
+    """Return the order that ``key`` identifies."""
     kind, *rest = [parse.unquote(part) for part in key.split("/")]
     return Order(OrderKind(kind), *rest)
 
 
 class Awaited(msgspec.Struct):
-    """An order that was given and is not yet seen in a report.
+    """An order that was given and does not yet show in a report.
 
-    ``epoch`` is that of the engine when it was given, -1 if not known: an
-    engine that was restarted since has forgotten the order.
+    ``epoch`` is the engine's epoch when the order was given, -1 if unknown: an
+    engine that was restarted since then has lost the order.
     """
 
     order: Order
@@ -83,9 +84,9 @@
 class Wanted(msgspec.Struct):
     """One placement as it applies to this failure domain.
 
-    ``servers`` are the names of the engines that may hold copies;
-    ``protected`` is true where a class of the highest priority uses the
-    model; ``in_use`` where any request for it is waiting or running.
+    ``servers`` names the engines that may hold copies. ``protected`` is true
+    if a class of the highest priority uses the model, ``in_use`` if any
+    request for it is waiting or running.
     """
 
     name: str
@@ -108,12 +109,12 @@
 
 
 class View(msgspec.Struct):
-    """All that the plan looks at.
+    """The state that a plan is based on.
 
-    ``announcements`` holds those of the serving engines by name,
-    ``awaited`` the orders under way by key, ``refused_until`` the time
-    before which an order (by key) is not to be repeated, ``attainment`` by
-    ``(model, version)``.
+    ``announcements`` maps names of serving engines to their announcements and
+    ``awaited`` keys of orders to those pending. ``refused_until`` maps keys of
+    orders to the time before which they must not be repeated. ``attainment``
+    is keyed by ``(model, version)``.
     """
 
     announcements: dict
@@ -123,7 +124,7 @@
 
 
 class Plan(msgspec.Struct):
-    """What to order now, and each placement's condition in words."""
+    """The orders to give now, and a description of each placement's state."""
 
     orders: list = msgspec.field(default_factory=list)
     conditions: dict = msgspec.field(default_factory=dict)
@@ -140,113 +141,120 @@
 
 
 def safe_to_unload(order, view, planned=()):
-    """Tell whether another engine keeps serving what ``order`` takes.
+    """Tell whether another engine still serves the model after ``order``.
 
-    Copies that were ordered away already, or are about to be (``planned``),
-    do not count, even while they are still reported: two placements of one
-    model would otherwise each see the other's copy and both take theirs.
+    Copies that are being unloaded, or are about to be (``planned``), do not
+    count even while they are still reported. Otherwise two placements of one
+    model would each see the other's copy and both unload their own.
     """
-    under_way = [item.order for item in view.awaited.values()]
-    going = {
+    pending = [item.order for item in view.awaited.values()]
+    unloading = {
         item.server
-        for item in [*under_way, *planned]
+        for item in [*pending, *planned]
         if item.kind is OrderKind.UNLOAD and item.model == order.model
     }
     return any(
         holds(announcement, order.model, "")
         for name, announcement in view.announcements.items()
-        if name != order.server and name not in going
+        if name != order.server and name not in unloading
     )
 
 
 def plan(wanted, view, now):
     """Return the :class:`Plan` for one failure domain.
 
-    Placements whose model a protected class uses come first, since the
-    number of engines that may be disturbed at a time is shared.
+    Placements of models that a protected class uses come first, since all
+    placements share the number of engines that may be disturbed at a time.
     """
-    made = Plan()
-    room = _room(view)
-    for item in sorted(wanted, key=_rank):
-        planned = [order for _, order in made.orders]
-        step = _Step(item, view, planned, now)
-        orders, condition = step.decide(room)
-        made.orders.extend((item.name, order) for order in orders)
-        made.conditions[item.name] = condition
-        room -= sum(_is_at_work(view, order.server) for order in orders)
-    return made
-
-
-def _rank(item):
+    result = Plan()
+    allowance = _disturbance_allowance(view)
+    for item in sorted(wanted, key=_sort_key):
+        planned = [order for _, order in result.orders]
+        planner = _PlacementPlanner(item, view, planned, now)
+        orders, condition = planner.decide(allowance)
+        result.orders.extend((item.name, order) for order in orders)
+        result.conditions[item.name] = condition
+        allowance -= sum(_is_serving(view, order.server) for order in orders)
+    return result
+
+
+def _sort_key(item):
     return (not item.protected, item.name)
 
 
-def _room(view):
-    """Return how many more engines at work may be disturbed now.
+def _disturbance_allowance(view):
+    """Return how many more serving engines may be disturbed now.
 
-    An engine without any model has no capacity to lose, so that a failure
-    domain which comes back cold is limited by the weight store alone.
+    Engines without any model have no capacity to lose and do not count. So
+    only the weight store limits how fast a failure domain loads that comes
+    back with nothing loaded.
     """
-    allowed = max(1, int(len(view.announcements) * DISTURBED_SHARE))
+    allowed = max(1, int(len(view.announcements) * MAX_DISTURBED_SHARE))
     disturbed = {
         item.order.server
         for item in view.awaited.values()
-        if _is_at_work(view, item.order.server)
+        if _is_serving(view, item.order.server)
     }
     return allowed - len(disturbed)
 
 
-def _is_at_work(view, name):
+def _is_serving(view, name):
     announcement = view.announcements.get(name)
     return announcement is not None and bool(announcement.models)
 
 
-class _Step:
-    """The next orders for one placement."""
+class _PlacementPlanner:
+    """Chooses the next orders for one placement."""
 
     def __init__(self, item, view, planned, now):
-        self._item = item
+        self._wanted = item
         self._planned = planned
         self._spec = item.spec
         self._view = view
         self._now = now
 
-    def decide(self, room):
-        """Return the orders for now and the condition in words."""
-        halted = self._halted()
-        if halted:
-            return [], halted
-        awaited = self._awaited()
-        missing = self._spec.minimum_copies - len(self._expected(awaited))
-        if missing > 0 and not (awaited and self._outdated()):
-            return self._load(missing, room, awaited)
+    def decide(self, allowance):
+        """Return the orders to give now and a description of the state."""
+        halt_reason = self._halt_reason()
+        if halt_reason:
+            return [], halt_reason
+        awaited = self._pending_orders()
+        missing = self._spec.minimum_copies - len(
+            self._current_or_loading(awaited)
+        )
+        if missing > 0 and not (awaited and self._outdated_copies()):
+            return self._load_copies(missing, allowance, awaited)
         if awaited:
             names = ", ".join(item.order.key for item in awaited)
             return [], f"awaiting {names}"
-        if room <= 0:
+        if allowance <= 0:
             return [], "waiting: enough engines are being changed now"
-        for look in (self._adapters, self._old_versions, self._surplus):
-            orders = look()
+        for find_orders in (
+            self._load_adapter,
+            self._unload_outdated,
+            self._unload_surplus,
+        ):
+            orders = find_orders()
             if orders:
                 keys = ", ".join(order.key for order in orders)
-                return orders[:room], f"ordering {keys}"
-        return self._roles(room)
+                return orders[:allowance], f"ordering {keys}"
+        return self._assign_role(allowance)
 
-    def _awaited(self):
-        """Return the orders under way that are about this model.
+    def _pending_orders(self):
+        """Return the pending orders that concern this model.
 
-        Those that a lost predecessor gave have no placement's name, so
-        that the model counts too.
+        Orders taken over from a failed predecessor carry no placement name, so
+        they are matched by model.
         """
         return [
             item
             for item in self._view.awaited.values()
-            if item.placement == self._item.name
+            if item.placement == self._wanted.name
             or item.order.model == self._spec.model
         ]
 
-    def _expected(self, awaited):
-        """Return the engines that have the declared version, or soon will."""
+    def _current_or_loading(self, awaited):
+        """Return the engines that hold or are loading the declared version."""
         spec = self._spec
         loading = {
             item.order.server
@@ -255,74 +263,76 @@
             and item.order.version == spec.version
             and not item.order.adapter
         }
-        return loading | set(self._current())
+        return loading | set(self._current_servers())
 
-    def _announced(self):
-        found = self._view.announcements
+    def _announcements(self):
+        announcements = self._view.announcements
         return [
-            (name, found[name]) for name in self._item.servers if name in found
+            (name, announcements[name])
+            for name in self._wanted.servers
+            if name in announcements
         ]
 
-    def _current(self):
+    def _current_servers(self):
         """Return the engines that report the declared version."""
         spec = self._spec
         return [
             name
-            for name, announcement in self._announced()
+            for name, announcement in self._announcements()
             if holds(announcement, spec.model, spec.version)
         ]
 
-    def _outdated(self):
-        """Return each engine with another version, and that version."""
+    def _outdated_copies(self):
+        """Return each engine that holds another version, with that version."""
         spec = self._spec
         return [
             (name, item.version)
-            for name, announcement in self._announced()
+            for name, announcement in self._announcements()
             for item in announcement.models
             if spec.version
             and item.name == spec.model
             and item.version != spec.version
         ]
 
-    def _load(self, missing, room, awaited):
+    def _load_copies(self, missing, allowance, awaited):
         """Load on empty engines first, then on those with the fewest models.
 
-        A new version is tried on one engine before any other gets it.
+        A new version is loaded on a single engine before any other gets it.
         """
-        if self._outdated():
+        if self._outdated_copies():
             missing = 1
-        taken = self._expected(awaited)
-        able = [
+        holding = self._current_or_loading(awaited)
+        candidates = [
             (len(announcement.models), name)
-            for name, announcement in self._announced()
-            if name not in taken and self._may_try(self._load_on(name))
+            for name, announcement in self._announcements()
+            if name not in holding and self._may_order(self._load_order(name))
         ]
         chosen = []
-        for models, name in sorted(able):
-            if models and room <= 0:
+        for loaded_count, name in sorted(candidates):
+            if loaded_count and allowance <= 0:
                 break
-            room -= bool(models)
+            allowance -= bool(loaded_count)
             chosen.append(name)
             if len(chosen) == missing:
                 break
         if not chosen:
             return [], f"{missing} copies missing and no engine free to load"
-        return [self._load_on(name) for name in chosen], (
+        return [self._load_order(name) for name in chosen], (
             f"loading on {', '.join(chosen)}"
         )
 
-    def _load_on(self, name):
+    def _load_order(self, name):
         spec = self._spec
         return Order(OrderKind.LOAD, name, spec.model, spec.version)
 
-    def _may_try(self, order):
+    def _may_order(self, order):
         return self._now >= self._view.refused_until.get(order.key, 0.0)
 
-    def _adapters(self):
+    def _load_adapter(self):
         """Load a missing adapter, on one engine at a time."""
         spec = self._spec
         for adapter in spec.adapters:
-            for name, announcement in self._announced():
+            for name, announcement in self._announcements():
                 if not holds(announcement, spec.model, spec.version):
                     continue
                 if holds(announcement, spec.model, spec.version, adapter):
@@ -330,78 +340,82 @@
                 order = Order(
                     OrderKind.LOAD, name, spec.model, spec.version, adapter
                 )
-                if self._may_try(order):
+                if self._may_order(order):
                     return [order]
         return []
 
-    def _halted(self):
-        """Return why the roll-out stands still, or ''."""
+    def _halt_reason(self):
+        """Return why the roll-out is halted, or ``''``."""
         spec = self._spec
-        new = self._measured(spec.version)
-        if new.requests < ATTAINMENT_SAMPLE:
+        new = self._attainment_of(spec.version)
+        if new.requests < MIN_ATTAINMENT_REQUESTS:
             return ""
-        for version in sorted({version for _, version in self._outdated()}):
-            old = self._measured(version)
-            if old.requests < ATTAINMENT_SAMPLE:
+        for version in sorted(
+            {version for _, version in self._outdated_copies()}
+        ):
+            old = self._attainment_of(version)
+            if old.requests < MIN_ATTAINMENT_REQUESTS:
                 continue
-            if new.share < old.share - ATTAINMENT_DROP:
+            if new.share < old.share - MAX_ATTAINMENT_DROP:
                 return (
                     f"halted: version {spec.version} meets"
                     f" {new.share:.0%} of targets, {version} {old.share:.0%}"
                 )
         return ""
 
-    def _measured(self, version):
+    def _attainment_of(self, version):
         key = (self._spec.model, version)
         return self._view.attainment.get(key) or Attainment()
 
-    def _old_versions(self):
-        """Drop one old copy, now that the declared ones are there.
+    def _unload_outdated(self):
+        """Unload one outdated copy once the declared ones are up.
 
-        The declared copies are counted from reports, so that a load that
-        was only ordered, and may yet fail, frees nothing.
+        The declared copies are counted from reports: a load that was only
+        ordered may still fail, so it does not allow an unload.
         """
-        outdated = self._outdated()
-        current = self._current()
+        outdated = self._outdated_copies()
+        current = self._current_servers()
         if not outdated or len(current) < max(1, self._spec.minimum_copies):
             return []
         name, version = outdated[0]
         order = Order(OrderKind.UNLOAD, name, self._spec.model, version)
-        return self._unload(order, keeps_model=name in current)
+        return self._unload_if_safe(order, keeps_model=name in current)
 
-    def _surplus(self):
-        """Drop one copy above the declared maximum.
+    def _unload_surplus(self):
+        """Unload one copy above the declared maximum.
 
-        The last copy of a model that is in use stays, whatever the
-        maximum says: taking it would refuse its callers.
+        The last copy of a model in use stays even if the maximum is 0, since
+        without it requests for the model would be refused.
         """
-        current = self._current()
-        keep = max(self._spec.maximum_copies, 1 if self._item.in_use else 0)
-        if len(current) <= keep:
+        current = self._current_servers()
+        kept_copies = max(
+            self._spec.maximum_copies, 1 if self._wanted.in_use else 0
+        )
+        if len(current) <= kept_copies:
             return []
         spec = self._spec
         order = Order(OrderKind.UNLOAD, current[-1], spec.model, spec.version)
-        return self._unload(order, keeps_model=False)
+        return self._unload_if_safe(order, keeps_model=False)
 
-    def _unload(self, order, keeps_model):
-        """Return the order, unless it would take the last copy in use."""
-        if not self._may_try(order):
+    def _unload_if_safe(self, order, keeps_model):
+        """Return the order, unless it would unload the last copy in use."""
+        if not self._may_order(order):
             return []
-        last = not keeps_model and not safe_to_unload(
+        takes_last_copy = not keeps_model and not safe_to_unload(
             order, self._view, self._planned
         )
-        if last and self._item.in_use:
+        if takes_last_copy and self._wanted.in_use:
             return []
         return [order]
 
-    def _roles(self, room):
-        """Give engines the declared role, one at a time."""
+    def _assign_role(self, allowance):
+        """Assign the declared role, one engine at a time."""
         role = self._spec.role
-        current = set(self._current())
-        for name, announcement in self._announced():
+        current = set(self._current_servers())
+        for name, announcement in self._announcements():
             if not role or name not in current or announcement.role == role:
                 continue
             order = Order(OrderKind.ROLE, name, role=role)
-            if self._may_try(order):
+            if self._may_order(order):
                 return [order], f"ordering {order.key}"
         return [], "as declared"
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/options.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/options.py
@@ -1,7 +1,7 @@
-"""Which mechanisms of the policy are on.
+"""Switches for the mechanisms of the adaptive policy.
 
-All are, in the product.  The policy bench turns off one at a time, which
-shows what each is worth; what is worth nothing gets removed.
+The product has all of them on. The policy bench turns them off one at a time
+to measure what each contributes; those that contribute nothing are removed.
 """
 
 import msgspec
@@ -23,7 +23,7 @@
 
 
 def without(name):
-    """Return the options with one mechanism off.
+    """Return the options with one mechanism switched off.
 
     >>> without("reserve").reserve
     False
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/policy.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/policy.py
@@ -1,7 +1,7 @@
-"""The face of a policy: what decides which work runs where, and when.
+"""The interface of placement policies: which work runs where, and when.
 
-The node and the policy bench drive every policy through this class alone,
-so that a baseline and the policy in use are measured on equal terms.
+The node and the policy bench use policies through this class alone, so that
+baselines and the policy in use are measured on equal terms.
 """
 
 import abc
@@ -18,69 +18,70 @@
     def next(self, now, directory):
         """Return the placements and refusals that are due at ``now``.
 
-        ``directory`` tells which servers may take which work.  The policy
-        counts what it places as outstanding until :meth:`ended`.
+        ``directory`` tells which servers may run which work. The policy counts
+        work that it places as outstanding until :meth:`ended`.
         """
 
     @abc.abstractmethod
     def first_output(self, request_id, now):
-        """Take note that the first output of an attempt came in."""
+        """Record that the first output of an attempt arrived."""
 
     @abc.abstractmethod
     def ended(self, ended, now):
-        """Take note of how an attempt ended.
+        """Record how an attempt ended.
 
-        Work that has a hedge goes on there, where its first attempt ends.
+        If the first attempt of hedged work ends, the hedge takes its place.
         """
 
     @abc.abstractmethod
     def requeue(self, work, now):
-        """Put work whose attempt did not begin back to the front."""
+        """Put work whose attempt did not begin back at the front."""
 
     def retry(self, work, now):
-        """Queue work again whose attempt broke off, or return a ``Nothing``.
+        """Queue work again after a broken attempt, or return a ``Nothing``.
 
-        The work must be repeatable, or its attempt cannot have begun.
+        The work must be repeatable, or the attempt cannot have begun.
         """
         self.requeue(work, now)
         return work
 
     def seek(self, work, since):
-        """Look for a server beside one that has ``work`` and is silent.
+        """Start looking for a server to hedge a silent one that has ``work``.
 
-        From ``since`` on :meth:`next` places it there as a hedge, without
-        refusing it: the silent server may still answer.  A policy that never
-        does so has no hedges.
+        From ``since`` on, :meth:`next` places the work on another server as a
+        hedge once one is free. It never refuses the work meanwhile, because
+        the silent server may still answer. A policy that ignores this call has
+        no hedges.
         """
 
     def stop_seeking(self, request_id):
-        """Look for no server any more beside a silent one."""
+        """Stop looking for a server to hedge a silent one."""
 
     @abc.abstractmethod
     def withdraw(self, request_id):
-        """Forget queued work whose caller is gone; return it or ``None``."""
+        """Remove queued work whose caller is gone; return it or ``None``."""
 
     @abc.abstractmethod
     def waiting(self):
         """Return how many requests of each class wait, as a dict."""
 
     def observe(self, server, now):
-        """Take note of a server's new load report."""
+        """Process a server's new load report."""
 
     def forget_server(self, name):
-        """Drop what is held about a server that is gone."""
+        """Drop the state of a server that is gone."""
 
     def own_loads(self):
-        """Return this instance's work at each server, for the others."""
+        """Return this instance's load on each server, for other instances."""
         return []
 
     def take_reads(self):
-        """Return which prompt parts were sent where since the last call."""
+        """Return the prompt parts sent to servers since the last call."""
         return []
 
     def heard_reads(self, reads, now):
-        """Take in which prompt parts the others sent where."""
+        """Record which prompt parts other instances sent to which servers."""
 
     def take_beliefs(self):
-        """Return what it came to believe of servers since the last call."""
+        """Return the conclusions about servers since the last call."""
         return []
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/quota.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/quota.py
@@ -1,26 +1,26 @@
-"""A part of something shared, moved by what late reports show.
+"""An instance's share of a common resource, adjusted by late reports.
 
-All instances see the same room in the same report, and would together fill
-it many times over.  So each starts from an even share, which it can hold to
-without any report; what a report shows to be free, or too much, moves the
-shares of those that use theirs, each by its part of it.
+All instances see the same free capacity in the same report and would together
+overcommit it many times. So each starts from an even share, which it can keep
+to without any report. Free or overcommitted capacity in a report then adjusts
+the shares of the instances that use theirs, each in proportion to its usage.
 """
 
-# All instances act on the same report, whose effect shows in the next but
-# one: with a half of what is missing and above the loop swings, which the
-# bench shows as missed first tokens.
+# Gain of the control loop. All instances act on the same report, and the
+# effect shows in the next report but one. With a gain of 0.5 or more the loop
+# oscillates, which the bench shows as missed first-token targets.
 GAIN = 0.25
-# Shares leak back to the even one, so that an instance that took much does
-# not keep it for ever.
-LEAK = 0.05
+# Quotas decay towards the even share, so that an instance that took much does
+# not keep it forever.
+DECAY_TO_EVEN = 0.05
 
 
 def part(own, total, instances):
-    """Return the part of what is missing that is this instance's to take.
+    """Return the part of the free capacity that this instance may take.
 
-    It is its part of the present use, and never less than an even one, so
-    that one instance which gets all the demand may use nearly all.  Over
-    all instances the parts add up to two at most.
+    It is the instance's part of the present usage, and at least an even part,
+    so that one instance that gets all the demand may use nearly all of the
+    capacity. Over all instances the parts add up to at most two.
     """
     even = 1.0 / instances
     return max(even, own / total) if total > 0 else even
@@ -29,11 +29,12 @@
 def moved(quota, even, missing, using):
     """Return the next quota.
 
-    ``missing`` is this instance's part of what is free, negative where
-    there is too much; ``using`` tells that it uses its quota, without which
-    a quota does not grow: it would grow for as long as there is no demand.
+    ``missing`` is this instance's part of the free capacity, negative if the
+    resource is overcommitted. ``using`` tells whether the instance uses its
+    quota; a quota that is not used does not grow, since without demand it
+    would grow without limit.
     """
     if missing < 0.0 or using:
         quota += GAIN * missing
-    quota += LEAK * (even - quota)
+    quota += DECAY_TO_EVEN * (even - quota)
     return max(even / 2.0, quota)
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/view.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/view.py
@@ -1,7 +1,7 @@
-"""What a policy may read of the other instances.
+"""What a policy may know about the other instances.
 
-The figures come from the membership and from the usage ledger; both lag by
-about a second, and stop moving in a partition.
+The data comes from cluster membership and the usage ledger. Both lag by about
+a second, and stop changing during a partition.
 """
 
 import abc
@@ -25,30 +25,30 @@
         """Return how many instances take requests, this one included."""
 
     def heard_from(self, failure_domain):
-        """Return when an instance of a domain was last heard.
+        """Return when an instance of a failure domain was last heard.
 
-        It is ``None`` where this instance hears none of them directly.
+        It is ``None`` if this instance hears none of them directly.
         """
         return None
 
     def has_fallen_silent(self, failure_domain, now):
-        """Tell whether the instances of a domain have just fallen silent."""
+        """Tell whether a domain's instances have just fallen silent."""
         return False
 
     def elsewhere(self, organisation, class_name):
-        """Return what the other instances counted so far.
+        """Return the usage counted by the other instances so far.
 
-        Without a class name it is of all classes.
+        An empty ``class_name`` gives the usage over all classes.
         """
         return Used()
 
     def today(self, organisation):
-        """Return the tokens that all instances counted on this day."""
+        """Return the tokens counted by all instances on this day."""
         return 0
 
 
 class FixedView(ClusterView):
-    """A known number of instances whose usage is not shared.
+    """A fixed number of instances whose usage is not shared.
 
     >>> FixedView(9).instances(0.0)
     9
@@ -58,5 +58,5 @@
         self._count = count
 
     def instances(self, now):
-        """Return the given number."""
+        """Return the fixed number of instances."""
         return self._count
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/work.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/work.py
@@ -1,23 +1,30 @@
-"""The unit that decisions are about."""
+"""The data that placement policies take in and return."""
 
 import msgspec
 
 
 class Work(msgspec.Struct):
-    """One request as the decisions see it.
-
-    ``received`` and ``deadline`` are on the clock of this instance;
-    ``avoid`` names the servers on which an attempt failed already,
-    ``turned_away`` those of them that did not begin it while another server
-    was silent.
-    ``predicted_tokens`` is the expected output length, zero if unknown.
-    ``parts`` are those of the prompt, in order, as ``(name, tokens)``; the
-    last one is the request's own.  ``max_attempts`` bounds the servers that
-    it may reach, zero leaves that to the node; ``routed`` tells that a route
-    and not a class decided all this.  ``start_priority`` is what a model
-    engine is told, ``route_priority`` the route's own step in it.
-    ``fingerprint`` stands for who sends it, where to, and its body: what
-    stays where it is sent once more with another id.
+    """One request as the policies see it.
+
+    ``received`` and ``deadline`` are on this instance's clock. ``priority`` is
+    lower for more important work.
+
+    ``avoid`` names the servers on which an attempt has failed already;
+    ``turned_away`` names those of them that rejected the request without
+    starting it while it was also outstanding at a silent server.
+
+    ``predicted_tokens`` is the expected output length, 0 if unknown. ``parts``
+    are the parts of the prompt, in order, as ``(name, tokens)``; the last part
+    belongs to this request alone. ``max_attempts`` limits how many servers the
+    request may reach; 0 leaves the limit to the node. ``routed`` is true if
+    the settings come from a route rather than from a request class.
+    ``start_priority`` is the priority passed to a model engine for routed
+    work. It combines the organisation's priority with the route's own step,
+    ``route_priority``.
+
+    ``fingerprint`` identifies the sender, the destination and the body: it
+    stays the same when a request is sent again under another id.
+
     ``limits`` are those of the organisation, ``class_limits`` those of each
     organisation in the class (``resources.specs.Limits``).
     """
@@ -54,18 +61,23 @@
     turned_away: set = msgspec.field(default_factory=set)
 
     def ask_again(self):
-        """Avoid no longer what turned the work away; it may have room now."""
+        """Make the servers that rejected the work eligible again.
+
+        They may have room by now.
+        """
         self.avoid -= self.turned_away
         self.turned_away.clear()
 
 
 class Grounds(msgspec.Struct):
-    """What a decision went by, for whoever asks for its reason later.
-
-    ``need`` is what the server would have to read of the prompt, in tokens;
-    ``unread`` and ``running`` are the tokens and requests that it had, by
-    this instance's own count and as the others said last.  ``usable`` counts
-    the servers that could be chosen, ``waiting`` the work that waited here.
+    """The inputs of a decision, kept to explain it later.
+
+    ``need`` is how many prompt tokens the server would have to compute;
+    ``unread`` and ``running`` are the uncomputed tokens and the requests that
+    this instance had there, and ``unread_others`` and ``running_others`` those
+    that the other instances last reported. ``usable`` is the number of servers
+    to choose from and ``waiting`` the number of requests queued at this
+    instance.
     """
 
     need: int = 0
@@ -78,9 +90,10 @@
 
 
 class Placement(msgspec.Struct):
-    """The decision to give ``work`` to a backend server now.
+    """The decision to send ``work`` to a backend server now.
 
-    ``hedge`` tells that another server, which is silent, still has it.
+    ``hedge`` is true if the work is also outstanding at another server, which
+    is silent.
     """
 
     work: Work
@@ -98,11 +111,11 @@
 
 
 class Belief(msgspec.Struct):
-    """What a policy came to believe of a server, for the log.
+    """A conclusion about a server's health, for the log.
 
-    ``failure_share`` is the share of its answers that failed lately,
-    ``seconds`` how long it gets no work.  ``domain`` names its failure
-    domain where the belief is about all of that.
+    ``failure_share`` is the share of its recent answers that failed and
+    ``seconds`` how long it gets no work. ``domain`` names a failure domain if
+    the conclusion is about all of its servers.
     """
 
     text: str
@@ -115,10 +128,10 @@
 class Ended(msgspec.Struct):
     """How an attempt ended, as feedback to the policy.
 
-    ``wasted`` tells that its output was of no use to any caller,
-    ``refused`` that the server said itself that it did not run it,
-    ``unreachable`` that no connection to it came about, and ``gone`` that
-    another server is at its address.
+    ``wasted``: no caller could use the output. ``refused``: the server said
+    that it did not run the request. ``unreachable``: no connection to the
+    server was established. ``gone``: another server has taken over its
+    address.
     """
 
     request_id: str
--- a/tests/cover/test_model_orders.py
+++ b/tests/cover/test_model_orders.py
@@ -1,4 +1,4 @@
-"""What the engines of a failure domain are told to load and drop."""
+"""The orders to load and unload models on the engines of a failure domain."""
 
 import dataclasses
 
@@ -11,61 +11,66 @@
 from dandeliontrail.resources import specs
 
 NAMES = ("e1", "e2", "e3", "e4")
-# Engines of other models: with them, two may be disturbed at a time.
-OTHERS = tuple(f"x{number}" for number in range(20))
+# Other engines in the domain; with them, two may be disturbed at a time.
+OTHER_ENGINES = tuple(f"x{number}" for number in range(20))
 
 
 def announce(name, **models):
-    made = announcements.Announcement(name, 1, 1, "model_engine", "http://x")
-    made.models = [
+    announcement = announcements.Announcement(
+        name, 1, 1, "model_engine", "http://x"
+    )
+    announcement.models = [
         announcements.Model(model, version)
         for model, version in models.items()
     ]
-    return made
+    return announcement
 
 
-def want(version="1", minimum=1, maximum=2, **fields):
+def make_wanted(version="1", minimum=1, maximum=2, **fields):
     spec = specs.ModelPlacementSpec("small", version, [], "", minimum, maximum)
     return model_orders.Wanted("small", spec, list(NAMES), **fields)
 
 
 def view_of(*engines, **fields):
-    found = {item.backend_server: item for item in engines}
-    return model_orders.View(found, fields.get("awaited", {}), {}, {})
+    announcements_by_name = {item.backend_server: item for item in engines}
+    return model_orders.View(
+        announcements_by_name, fields.get("awaited", {}), {}, {}
+    )
 
 
-def order_keys(made):
-    return [order.key for _, order in made.orders]
+def order_keys(plan):
+    return [order.key for _, order in plan.orders]
 
 
 def test_does_not_unload_the_last_copy_in_use():
-    # The operator lowers maximum_copies to 0 while crews still look
-    # certificates up: the last copy stays until nobody asks for it.
+    # The operator lowers maximum_copies to 0 while the model is still in use.
+    # The last copy stays until no request needs it.
     engines = [announce("e1", small="1"), announce("e2", other="1")]
-    item = want(minimum=0, maximum=0, in_use=True)
+    item = make_wanted(minimum=0, maximum=0, in_use=True)
     assert order_keys(model_orders.plan([item], view_of(*engines), 0.0)) == []
     item.in_use = False
-    made = model_orders.plan([item], view_of(*engines), 0.0)
-    assert order_keys(made) == ["unload/e1/small/1//"]
+    plan = model_orders.plan([item], view_of(*engines), 0.0)
+    assert order_keys(plan) == ["unload/e1/small/1//"]
 
 
 def test_two_placements_do_not_take_each_others_copy():
-    # Two placements of one model each want none.  The first order is
-    # still under way and its copy still reported when the second asks.
+    # Two placements of one model both want no copies. While the order of the
+    # first is pending and its copy still reported, the second must not unload
+    # the other copy.
     engines = [announce("e1", small="1"), announce("e2", small="1")]
-    engines += [announce(name) for name in OTHERS]
+    engines += [announce(name) for name in OTHER_ENGINES]
     order = model_orders.Order(
         model_orders.OrderKind.UNLOAD, "e1", "small", "1"
     )
     awaited = {order.key: model_orders.Awaited(order, "other", 0.0, 1)}
-    item = want(minimum=0, maximum=1)
+    item = make_wanted(minimum=0, maximum=1)
     item.spec.maximum_copies = 0
     view = view_of(*engines, awaited=awaited)
     assert order_keys(model_orders.plan([item], view, 0.0)) == []
 
 
 def test_roll_out_stops_when_the_new_version_does_worse():
-    # Version 2 is up on one of four engines and misses its targets.
+    # Version 2 runs on one of four engines and misses its targets.
     engines = [announce("e1", small="2")]
     engines += [announce(name, small="1") for name in NAMES[1:]]
     view = view_of(*engines)
@@ -73,33 +78,33 @@
         ("small", "1"): model_orders.Attainment(100, 99),
         ("small", "2"): model_orders.Attainment(100, 80),
     }
-    made = model_orders.plan([want("2", 4, 4)], view, 0.0)
-    assert made.orders == []
-    assert made.conditions["small"].startswith("halted")
+    plan = model_orders.plan([make_wanted("2", 4, 4)], view, 0.0)
+    assert plan.orders == []
+    assert plan.conditions["small"].startswith("halted")
 
 
 def test_protected_models_are_loaded_first():
-    # All engines are at work on other models; one may be disturbed.
+    # All engines serve other models, and one may be disturbed at a time.
     engines = [announce(name, other="1") for name in NAMES]
-    review = want()
+    review = make_wanted()
     review.name = "a-review"
-    lookup = want(protected=True)
+    lookup = make_wanted(protected=True)
     lookup.name = "z-lookup"
-    made = model_orders.plan([review, lookup], view_of(*engines), 0.0)
-    assert [name for name, _ in made.orders] == ["z-lookup"]
+    plan = model_orders.plan([review, lookup], view_of(*engines), 0.0)
+    assert [name for name, _ in plan.orders] == ["z-lookup"]
 
 
 def test_cold_engines_are_all_loaded_at_once():
-    # A failure domain comes back with nothing loaded: nobody is disturbed
-    # by a load, and the weight store sets the pace.
+    # A failure domain comes back with nothing loaded. Loads disturb no
+    # request, so that only the weight store limits them.
     engines = [announce(name) for name in NAMES]
-    made = model_orders.plan([want(minimum=4)], view_of(*engines), 0.0)
-    assert len(made.orders) == 4
+    plan = model_orders.plan([make_wanted(minimum=4)], view_of(*engines), 0.0)
+    assert len(plan.orders) == 4
 
 
 @dataclasses.dataclass
 class Engine:
-    """An engine that loads for a while and reports late."""
+    """An engine whose loads take time and whose reports are late."""
 
     models: dict
     reported: dict
@@ -107,11 +112,10 @@
 
 
 class LastCopyNeverGoes(stateful.RuleBasedStateMachine):
-    """Callers of a model in use find no engine that has it.
+    """The last copy of a model in use is never unloaded.
 
-    Engines crash in the middle of a load, orders and their answers are
-    lost, reports come late, and the operator changes his mind about
-    versions and counts all the while.
+    Engines crash in the middle of a load, orders and their answers are lost,
+    reports are late, and the operator keeps changing versions and counts.
     """
 
     def __init__(self):
@@ -123,7 +127,7 @@
         }
         self.awaited = {}
         self.refused = {}
-        self.items = [want("1", 2, 3), want("1", 1, 2)]
+        self.items = [make_wanted("1", 2, 3), make_wanted("1", 1, 2)]
         self.items[1].name = "second"
 
     def view(self):
@@ -136,7 +140,7 @@
                 for version in sorted(versions)
             ]
             found[name] = made
-        found.update((name, announce(name)) for name in OTHERS)
+        found.update((name, announce(name)) for name in OTHER_ENGINES)
         return model_orders.View(found, self.awaited, self.refused, {})
 
     @stateful.rule(
@@ -147,7 +151,7 @@
     )
     def operator_declares(self, index, version, minimum, more):
         name = self.items[index].name
-        self.items[index] = want(version, minimum, minimum + more)
+        self.items[index] = make_wanted(version, minimum, minimum + more)
         self.items[index].name = name
 
     @stateful.rule(lost=st.booleans())
--- a/tests/cover/test_server_counts.py
+++ b/tests/cover/test_server_counts.py
@@ -1,4 +1,4 @@
-"""Servers that are paid for by the second, and may be taken away."""
+"""Ordering regular and spot servers, which may be taken away at any time."""
 
 import math
 import types
@@ -20,7 +20,7 @@
 SCALING = revisions.Scaling(1, 30, 4.0, 0.22)
 Stock = server_counts.Stock
 BOOT_SECONDS = SCALING.boot_seconds
-HALF = 0.5
+STEP_SECONDS = 0.5
 
 
 def plan_of_one(scaling, needed, serving):
@@ -40,15 +40,15 @@
     scaling = revisions.Scaling(least, most, 4.0, 0.22)
     made = plan_of_one(scaling, needed, Stock(regular, spot))
     assert least <= made.regular + made.spot <= most
-    assert made.regular >= min(needed, server_counts.KEPT_REGULAR)
+    assert made.regular >= min(needed, server_counts.MIN_REGULAR_SERVERS)
 
 
 def test_kinds_change_without_a_moment_of_fewer_servers():
     # All spot servers are ordered while every regular one still serves, and
-    # regular ones go only as spot ones have come.
+    # regular ones are released only as spot ones start.
     for spot in range(5):
-        made = plan_of_one(SCALING, 5, Stock(5, spot))
-        assert made == Stock(5 - spot, 4)
+        plan = plan_of_one(SCALING, 5, Stock(5, spot))
+        assert plan == Stock(5 - spot, 4)
 
 
 def test_regular_servers_stand_in_for_those_taken_away():
@@ -62,7 +62,7 @@
 
 DOMAINS = ("fd1", "fd2", "fd3")
 IN_EACH = 5
-# With a reserve: two failure domains have as many as three need.
+# With the reserve, two failure domains have as many servers as three need.
 SPOT_IN_EACH = 7
 
 
@@ -90,20 +90,20 @@
 
 
 def test_reserve_of_two_domains_stands_in_for_a_third():
-    # All spot servers of a failure domain are taken away.  What is left in
-    # the others is as much as was needed in all: no server at the full
-    # price, and none to wait for.
-    made = plan_of_three((1, 1, 1), (7, 0, 7))
-    assert made["fd2"] == Stock(1, 7)
-    assert sum(stock.regular for stock in made.values()) == 3
-    made = plan_of_three((1, 1, 1), (7, 0, 0))
-    assert sum(stock.regular for stock in made.values()) == 15 - 7
+    # All spot servers of a failure domain are taken away. The others have as
+    # many as are needed in all, so that no regular server is ordered and
+    # nothing has to start first.
+    plan = plan_of_three((1, 1, 1), (7, 0, 7))
+    assert plan["fd2"] == Stock(1, 7)
+    assert sum(stock.regular for stock in plan.values()) == 3
+    plan = plan_of_three((1, 1, 1), (7, 0, 0))
+    assert sum(stock.regular for stock in plan.values()) == 15 - 7
 
 
 def test_no_reserve_that_costs_as_much_as_regular_servers():
     dear = revisions.Scaling(1, 30, 4.0, 0.7)
-    made = plan_of_three((5, 5, 5), (0, 0, 0), dear)
-    assert made["fd1"] == Stock(5, 4)
+    plan = plan_of_three((5, 5, 5), (0, 0, 0), dear)
+    assert plan["fd1"] == Stock(5, 4)
 
 
 def group_of(domain, spot):
@@ -111,10 +111,11 @@
 
 
 class Platform:
-    """A stand-in that keeps the servers that are ordered, and bills them.
+    """A stand-in for the platform that runs and bills the servers ordered.
 
-    ``gone`` are failure domains whose spot servers were taken away: there
-    are none to be had there.  ``bill`` is in seconds of regular servers.
+    ``gone`` names the failure domains whose spot servers were taken away; no
+    spot servers are available there. ``bill`` is in seconds of regular
+    servers.
     """
 
     def __init__(self, keeper):
@@ -124,7 +125,7 @@
         self.starting = []
         self.gone = set()
         self.bill = 0.0
-        self.made = 0
+        self.started_count = 0
         self.calls = []
         keeper.answer = self.call
         for group in self.wanted:
@@ -142,8 +143,8 @@
         return events.DutyAnswer.TAKEN
 
     def start(self, group):
-        self.made += 1
-        self.serving.setdefault(group, []).append(f"s{self.made}")
+        self.started_count += 1
+        self.serving.setdefault(group, []).append(f"s{self.started_count}")
 
     def stop(self, group, count):
         for _ in range(count):
@@ -156,14 +157,14 @@
         self.stop(group, len(self.serving[group]))
 
     def run(self, seconds, cut=()):
-        """Let time pass; nobody hears the servers in a domain that is cut."""
-        for _ in range(round(seconds / HALF)):
+        """Advance the time; servers in the ``cut`` domains are not heard."""
+        for _ in range(round(seconds / STEP_SECONDS)):
             self.change()
             for group, names in self.serving.items():
                 if group.failure_domain not in cut:
                     for name in names:
                         self.announce(group, name)
-            self.keeper.run(HALF)
+            self.keeper.run(STEP_SECONDS)
 
     def change(self):
         now = self.keeper.now
@@ -178,13 +179,13 @@
                 self.starting.append((now + BOOT_SECONDS, group))
         for group, names in self.serving.items():
             price = SCALING.spot_price if group.spot else 1.0
-            self.bill += HALF * len(names) * price
+            self.bill += STEP_SECONDS * len(names) * price
 
     def announce(self, group, name, leaving=False):
-        made = announcements.Announcement(
+        announcement = announcements.Announcement(
             name,
             1,
-            round(self.keeper.now / HALF),
+            round(self.keeper.now / STEP_SECONDS),
             "model_engine",
             "http://127.0.0.1:1",
             failure_domain=group.failure_domain,
@@ -192,7 +193,7 @@
             spot=group.spot,
             leaving=leaving,
         )
-        self.keeper.apply(events.Announced(made))
+        self.keeper.apply(events.Announced(announcement))
 
     def count(self, domain, spot):
         return len(self.serving.get(group_of(domain, spot), []))
@@ -202,7 +203,7 @@
 
 
 def scaled():
-    """Return the platform of a keeper with a service that can be scaled."""
+    """Return the platform of a keeper with a scalable service."""
     keeper = test_platform_duties.Keeper()
     service = revisions.Service("llm", scaling=SCALING)
     revision = revisions.Revision(1, "{}", services=[service])
@@ -213,12 +214,12 @@
 def test_most_servers_become_spot_servers_and_none_is_missed():
     platform = scaled()
     for _ in range(60):
-        platform.run(HALF)
+        platform.run(STEP_SECONDS)
         assert platform.total() >= len(DOMAINS) * IN_EACH
     for domain in DOMAINS:
         assert platform.count(domain, spot=False) == 1
         assert platform.count(domain, spot=True) == SPOT_IN_EACH
-    # A reserve of half of what is needed, and still half of the price.
+    # The reserve is half of what is needed, and the price still about half.
     began = platform.bill
     platform.run(10.0)
     ordered = 1 + SPOT_IN_EACH * SCALING.spot_price
@@ -226,17 +227,17 @@
 
 
 def test_callers_are_served_on_when_spot_servers_are_taken_away():
-    # All spot servers of a failure domain are taken at once, and for ten
-    # seconds there are none to be had.  Its callers go on with the one
-    # regular server and the reserve of the other domains: in all there are
-    # never fewer than are needed.  Then a second domain loses its own; as
-    # many as before serve once regular ones have started.
+    # All spot servers of a failure domain are taken away at once and none are
+    # available for ten seconds. The domain's callers are served by its one
+    # regular server and by the reserve of the other domains, so that never
+    # fewer servers than needed serve in all. Then a second domain loses its
+    # spot servers; as many as before serve once regular ones have started.
     needed = len(DOMAINS) * IN_EACH
     platform = scaled()
     platform.run(20.0)
     platform.take_away("fd2")
     for _ in range(20):
-        platform.run(HALF)
+        platform.run(STEP_SECONDS)
         assert platform.total() >= needed
         assert platform.count("fd2", spot=False) >= 1
     platform.take_away("fd3")
@@ -250,9 +251,9 @@
 
 
 def test_cut_changes_no_order():
-    # A failure domain is cut off from the keepers for half a minute: nothing
-    # is heard of its servers, which serve on.  Nothing may be ordered for it
-    # by what is not known.
+    # A failure domain is cut off from the keepers for half a minute and none
+    # of its servers is heard of, while they keep serving. Nothing may be
+    # ordered for it on missing information.
     platform = scaled()
     platform.run(20.0)
     given = len(platform.calls)
@@ -261,8 +262,9 @@
 
 
 def test_next_holder_goes_on_from_the_last_order():
-    # The holder is lost; its successor finds some of the servers only.  What
-    # is needed stands in the log, and is not what the successor finds.
+    # The holder of the duty fails, and its successor knows only some of the
+    # servers. The number needed comes from the log and not from what the
+    # successor knows.
     platform = scaled()
     platform.run(20.0)
     ordered = platform.keeper.state.duties.ordered
@@ -289,9 +291,9 @@
 
 
 def test_nothing_is_given_up_by_what_an_instance_finds_as_it_starts():
-    # A keeper starts and has heard of two servers of five: these are not
-    # all that are needed.  Spot servers may be ordered for those two; no
-    # regular one may be given up, and once all are heard as many serve as
+    # A keeper starts and has heard of two servers of five, which are not all
+    # that are needed. Spot servers may be ordered for those two. No regular
+    # server may be released, and once all are heard of as many serve as
     # before.
     platform = scaled()
     both = platform.serving[group_of("fd1", False)] = ["s1", "s2"]
@@ -308,13 +310,13 @@
         platform.announce(group_of("fd1", False), f"s{number}")
         both.append(f"s{number}")
     for _ in range(40):
-        platform.run(HALF)
+        platform.run(STEP_SECONDS)
         assert platform.total() >= len(DOMAINS) * IN_EACH
 
 
 def test_spot_servers_are_ordered_as_soon_as_servers_are_found():
-    # Machines start well before their traffic, and each second until spot
-    # servers have started is paid for at the full price.
+    # Servers start well before their traffic, and until spot servers have
+    # started every second is paid for at the full price.
     platform = scaled()
     platform.run(server_orders.INFORMED_SECONDS / 2)
     ordered = {call.group: call.count for call in platform.calls}
@@ -323,8 +325,8 @@
 
 def test_orders_only_grow_while_failure_domains_are_found():
     # The servers of one failure domain are heard of two seconds after the
-    # others'.  With a reserve shared out among two domains, spot servers were
-    # ordered that had to go again once there were three.
+    # others. If the reserve were divided among two domains at first, spot
+    # servers would be ordered that had to be released once there were three.
     platform = scaled()
     platform.run(2.0, cut=("fd3",))
     platform.run(20.0)
@@ -336,8 +338,8 @@
     for found in counts.values():
         assert found == sorted(found)
         assert found[-1] == SPOT_IN_EACH
-    # A fourth failure domain joins: the reserve gets smaller, and is not
-    # given up until it is known how many servers are there.
+    # A fourth failure domain joins. The reserve gets smaller, and is not
+    # released until the number of servers there is known.
     given = len(platform.calls)
     for _ in range(IN_EACH):
         platform.start(group_of("fd4", False))
@@ -351,9 +353,9 @@
 
 
 def test_next_holder_orders_at_once_what_a_domain_lacks():
-    # The holder is lost as the spot servers of two failure domains are taken
-    # away.  The next one has run for as long, and has heard of all servers:
-    # callers need not wait until it has listened anew.
+    # The holder of the duty fails as the spot servers of two failure domains
+    # are taken away. Its successor has run for as long and has heard of all
+    # servers, so that it need not wait before it orders.
     platform = scaled()
     platform.run(20.0)
     state = platform.keeper.state
@@ -378,8 +380,8 @@
 
 
 def test_holder_that_has_just_started_takes_no_server_for_lost():
-    # All keepers lose their power.  The first to hold the duty has not heard
-    # of the spot servers yet, which serve on.
+    # All keepers lose power. The first one to hold the duty has not yet heard
+    # of the spot servers, which keep serving.
     platform = scaled()
     platform.run(20.0)
     state = platform.keeper.state
