--- a/packages/dandeliontrail/src/dandeliontrail/decisions/adaptive.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/adaptive.py
@@ -397,12 +397,12 @@
 
         Delayed retries count as waiting.
         """
-        found = self._retries.withdraw(request_id)
+        work = self._retries.withdraw(request_id)
         for queue in self._queues.values():
-            found = found or queue.pending.remove(request_id)
-        if found is not None:
-            self._limiter.settle(found, 0.0, found.received)
-        return found
+            work = work or queue.pending.remove(request_id)
+        if work is not None:
+            self._limiter.settle(work, 0.0, work.received)
+        return work
 
     def waiting(self):
         """Return the number of queued requests by class."""
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/limits.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/limits.py
@@ -85,19 +85,19 @@
 
         ``other_usage`` is the total usage at the other instances so far.
         """
-        added = other_usage - (self._other_usage or other_usage)
+        other_added = other_usage - (self._other_usage or other_usage)
         self._other_usage = other_usage
         self._own_rate += RATE_SMOOTHING * (
             self._own_usage / seconds - self._own_rate
         )
         self._other_rate += RATE_SMOOTHING * (
-            added / seconds - self._other_rate
+            other_added / seconds - self._other_rate
         )
         self._own_usage = 0.0
         self.limit = limit
-        total = self._own_rate + self._other_rate
-        part = quota.part(self._own_rate, total, instances)
-        missing = (limit - total) * part
+        total_rate = self._own_rate + self._other_rate
+        part = quota.part(self._own_rate, total_rate, instances)
+        missing = (limit - total_rate) * part
         using = self._own_rate > 0.8 * self.rate
         adjusted = quota.moved(self.rate, limit / instances, missing, using)
         self.rate = min(limit, adjusted)
--- a/tests/cover/test_model_orders.py
+++ b/tests/cover/test_model_orders.py
@@ -131,17 +131,17 @@
         self.items[1].name = "second"
 
     def view(self):
-        found = {}
+        reported = {}
         for name, engine in self.engines.items():
-            made = announce(name)
-            made.models = [
+            announcement = announce(name)
+            announcement.models = [
                 announcements.Model(model, version)
                 for model, versions in engine.reported.items()
                 for version in sorted(versions)
             ]
-            found[name] = made
-        found.update((name, announce(name)) for name in OTHER_ENGINES)
-        return model_orders.View(found, self.awaited, self.refused, {})
+            reported[name] = announcement
+        reported.update((name, announce(name)) for name in OTHER_ENGINES)
+        return model_orders.View(reported, self.awaited, self.refused, {})
 
     @stateful.rule(
         index=st.integers(0, 1),
@@ -158,8 +158,8 @@
     def holder_orders(self, lost):
         self.now += 1.0
         self.settle()
-        made = model_orders.plan(self.items, self.view(), self.now)
-        for placement, order in made.orders:
+        plan = model_orders.plan(self.items, self.view(), self.now)
+        for placement, order in plan.orders:
             self.awaited[order.key] = model_orders.Awaited(
                 order, placement, self.now, 1
             )
@@ -170,11 +170,11 @@
         view = self.view()
         for key, item in list(self.awaited.items()):
             order = item.order
-            held = model_orders.holds(
+            is_loaded = model_orders.holds(
                 view.announcements[order.server], order.model, order.version
             )
-            wanted = order.kind is model_orders.OrderKind.LOAD
-            if held == wanted:
+            should_be_loaded = order.kind is model_orders.OrderKind.LOAD
+            if is_loaded == should_be_loaded:
                 del self.awaited[key]
             elif self.now - item.given_at > 30.0:
                 del self.awaited[key]
