--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log.py
@@ -1,39 +1,45 @@
-"""One replica of the quorum log, as the rest of an instance sees it.
+"""The replicated log of one instance: the interface for other components.
 
-The keepers agree on one ordered log; every instance applies its entries in
-order.  How a component uses it:
+The log is replicated in the manner of Raft (Ongaro and Ousterhout, "In
+Search of an Understandable Consensus Algorithm", 2014).  A *keeper* is an
+instance with a disk that votes on the log: the keepers elect a leader and
+commit entries by majority.  Every other instance is a non-voting learner.
+All instances apply the committed entries in log order.
 
-* It defines its kind of entry as a tagged ``msgspec.Struct`` and adds it to
+To use the log, a component does the following:
+
+* It defines its entry type as a tagged ``msgspec.Struct`` and adds it to
   ``ALL`` in :mod:`.quorum_log_entries`.
-* It registers an applier, once, when the reducer is put together::
+* It registers one applier when the reducer is constructed::
 
       state.log.register(LeaseRequest, LeaseApplier(table))
 
-  The applier (:class:`.quorum_log_machine.Applier`) is handed the entries of
-  that kind in log order, on every instance alike: ``apply(version, entry)``
-  returns a result.  It uses no clock and no chance; what depends on either
-  is put into the entry by its proposer.  ``dump`` and ``load`` make its
-  state part of the checkpoints, and ``result_type`` lets kept results be
-  read back.
-* It proposes an entry from inside the reducer and gets the result back
-  there::
+  The applier (:class:`.quorum_log_machine.Applier`) receives the entries of
+  that type in log order on every instance; ``apply(version, entry)``
+  returns a result.  It must be deterministic: values that depend on a clock
+  or on random numbers are put into the entry by its proposer.  ``dump`` and
+  ``load`` save and restore its state in checkpoints, and ``result_type`` is
+  the type used to decode the kept results.
+* It proposes an entry from within the reducer and receives the result in a
+  callback::
 
       return state.log.propose(entry, proposal_id, now, self._settled)
 
-  ``propose`` returns effects, to be returned from the handler.  Later
+  ``propose`` returns effects, which the handler must return.  Later
   ``self._settled(settled, now)`` is called exactly once with a
-  :class:`Settled` and returns effects in turn.  The entry has then taken
-  effect *on this instance*, so what is read here afterwards shows it.
+  :class:`Settled` and returns further effects.  If the proposal was
+  applied, it has by then taken effect *on this instance*, so later reads
+  here see it.
 
-``proposal_id`` is unique to the proposal: the same id proposed again, on
-any instance, takes effect once and gives the first result, for as long as
-results are kept (:data:`.quorum_log_machine.KEPT_RESULTS` of each kind).
+``proposal_id`` is an idempotency key: an id that is proposed again, on any
+instance, takes effect once and yields the first result, for as long as
+results are kept (:data:`.quorum_log_machine.MAX_KEPT_RESULTS` per type).
 
-``NOT_RUN`` is said only where the proposal was never sent to anyone who
-could have appended it; everything else that fails is ``UNKNOWN``.
+``NOT_RUN`` is reported only if the proposal was never sent to an instance
+that could have appended it; every other failure is ``UNKNOWN``.
 
-An instance whose settings name no keepers at all is the one voter of a log
-of its own, in memory: for embedding and tests.
+An instance whose settings name no keepers is the only voter of a log of its
+own that is held in memory.  This is meant for embedding and tests.
 """
 
 from .. import effects
@@ -60,12 +66,16 @@
 Settled = proposals_module.Settled
 SettledKind = proposals_module.SettledKind
 
-# A starting instance asks so many others at once how far they are.
-ASKED_AT_ONCE = 32
+# A broadcast with more recipients than this goes to a random sample of this
+# size and to all keepers.
+BROADCAST_SAMPLE_SIZE = 32
 
 
 class QuorumLog:
-    """The replica of one instance.  ``open`` it before all else."""
+    """The replica of one instance.
+
+    Register all appliers, then call :meth:`open` before anything else.
+    """
 
     def __init__(
         self,
@@ -81,13 +91,15 @@
         self._bootstrap = set(bootstrap)
         self._in_memory = keeper is None and not bootstrap
         folder = keeper.folder if keeper else ""
-        self._machine = machine_module.Machine()
+        self._machine = machine_module.StateMachine()
         core = core_module.Core(name, folder, rng, self._machine)
         self._core = core
         self._freshness = freshness_module.Freshness(self._machine)
         self._leadership = leader_module.Leadership(core, self._freshness)
-        self._election = election_module.Election(core, self._leadership.begin)
-        self._following = follower_module.Following(
+        self._election = election_module.Election(
+            core, self._leadership.become_leader
+        )
+        self._follower = follower_module.Follower(
             core, self._election, self._freshness
         )
         self._founding = founding_module.Founding(
@@ -97,183 +109,193 @@
         self._proposals = proposals_module.Proposals(
             core, self._leadership, sorted(bootstrap)
         )
-        self._voters = voters_module.VoterChanges(
+        self._voter_changes = voters_module.VoterChanges(
             core, self._leadership, self._founding
         )
-        self._start = start_module.Start(
+        self._readiness = start_module.Readiness(
             core, self._freshness, self._catch_up, neighbours
         )
-        self._proving = proving_module.Proving(
+        self._polling = proving_module.FreshnessPolling(
             core, self._freshness, neighbours, options.proves_often
         )
-        self._repair = repair_module.VoterRepair(
+        self._voter_repair = repair_module.VoterRepair(
             core,
             self._leadership,
             self._founding,
             neighbours,
             options.wanted_voters,
         )
-        # Whether the disk held a log when this process started.
+        # True if the disk held a log when this process started.
         self.resumed = False
-        self._spreading = spreading_module.Spreading(core, neighbours)
-        self._settled = 0
-        self._was_stale = False
-        self._was_leader = ""
+        self._dissemination = spreading_module.Dissemination(core, neighbours)
+        self._settled_index = 0
+        self._logged_stale = False
+        self._logged_leader = ""
 
-    # -- the seam ---------------------------------------------------------
+    # -- interface for components -----------------------------------------
 
     def register(self, kind, applier):
-        """Have ``applier`` apply the entries of type ``kind``."""
+        """Register ``applier`` for the entries of type ``kind``."""
         self._machine.register(kind, applier)
 
     def propose(self, body, proposal_id, now, on_settled):
-        """Propose an entry; return effects.
+        """Propose an entry and return effects.
 
-        ``on_settled(settled, now)`` is called once and returns effects.
+        ``on_settled(settled, now)`` is called exactly once, possibly before
+        this method returns, and returns effects.
         """
         self._proposals.add(body, proposal_id, now, on_settled)
-        known = self._proposals.take_applied(type(body), proposal_id)
-        out = _call(known, now) if known else []
+        applied = self._proposals.take_applied(type(body), proposal_id)
+        out = _run_callbacks(applied, now) if applied else []
         return out + self._finish(now)
 
     def change_voter(self, action, name, request_id, now):
-        """Ask for a keeper more or less; return effects.
+        """Ask the leader to add or remove a keeper; return effects.
 
-        The leader's answer comes as an ``effects.VoterAnswered``.
+        The leader's reply is delivered as an ``effects.VoterAnswered``.
         """
         leader = self.leader(now)
-        reply = self._voters.ask(action, name, request_id, leader, now)
-        out = [_answered(reply)] if reply else []
+        reply = self._voter_changes.request_change(
+            action, name, request_id, leader, now
+        )
+        out = [_voter_answered(reply)] if reply else []
         return out + self._finish(now)
 
-    def _voter_answered(self, source, message, now):
-        return [_answered(message)]
+    def _handle_voter_reply(self, source, message, now):
+        return [_voter_answered(message)]
 
     @property
     def applied(self):
-        """Return the position of the last entry applied here."""
+        """The index of the last entry applied on this instance."""
         return self._machine.applied
 
     @property
     def ready(self):
-        """Tell whether the state here may be served from."""
-        return self._start.ready
+        """Whether this instance may serve requests from its state."""
+        return self._readiness.ready
 
     def voter_names(self):
-        """Return the names of the keepers that vote, as the log has them."""
+        """Return the names of the voters in the latest configuration."""
         return self._core.voter_names()
 
     def stale(self, now):
-        """Tell whether a majority has not been heard of for a while."""
+        """Return whether contact with a majority was lost for too long.
+
+        The limit is :data:`.quorum_log_freshness.STALE_AFTER_SECONDS`.
+        """
         return self._freshness.stale(now)
 
     def proven_ago(self, now):
-        """Return the proven age of the state in seconds, or ``None``.
+        """Return an upper bound on the age of the state, or ``None``.
 
-        All that was committed so many seconds ago is certainly applied here.
+        Every entry that was committed this many seconds ago or earlier is
+        guaranteed to be applied here.  ``None`` means there is no bound yet.
         """
-        ago = self._freshness.proven.ago(now)
+        ago = self._freshness.proven.age(now)
         return None if ago < 0 else ago
 
     def leader(self, now):
-        """Return the name of the leader where it is known, or ''."""
+        """Return the name of the leader, or '' if it is not known."""
         return self._proposals.leader(now)
 
     def status(self, now):
-        """Return how this replica stands."""
+        """Return the status of this replica for operators."""
         core = self._core
         return status_module.LogStatus(
             core.role.value,
             core.term,
             self.leader(now),
             core.commit,
-            round(self._freshness.heard.ago(now), 3),
+            round(self._freshness.heard.age(now), 3),
             self.stale(now),
             self.ready,
             self._in_memory,
             core.halted,
             list(core.log.voters),
-            self._founding.missing(),
+            self._founding.missing_founders(),
         )
 
     # -- events -----------------------------------------------------------
 
     def open(self, now=0.0):
-        """Start from the disk, after all appliers are registered."""
+        """Restore the state from the disk and return effects.
+
+        All appliers must be registered before.
+        """
         restored = records.restore(self._keeper) if self._keeper else None
         if restored:
             self._core.restore(restored)
         self.resumed = bool(self._core.log_id)
         if self._in_memory:
-            self._founding.alone()
+            self._founding.found_alone()
             self._election.tick(now)
-            self._start.ready = True
+            self._readiness.ready = True
         return self._finish(now)
 
     def tick(self, now):
-        """Return the effects that are due."""
+        """Run everything that is due by time and return effects."""
         core = self._core
         if self._in_memory:
             self._leadership.tick(now)
             return self._finish(now)
-        greeting = self._founding.tick(now)
-        out = self._broadcast(greeting) if greeting else []
-        ask = self._start.asks(now)
-        if ask:
-            question = self._progress(now, asks=True, ask=ask)
-            out.extend(self._broadcast(question))
+        hello = self._founding.tick(now)
+        out = self._broadcast(hello) if hello else []
+        query_id = self._readiness.next_query(now)
+        if query_id:
+            query = self._progress_message(now, asks=True, ask=query_id)
+            out.extend(self._broadcast(query))
         else:
-            out.extend(self._ask_keepers(now))
+            out.extend(self._query_keepers(now))
         self._election.tick(now)
         self._leadership.tick(now)
         self._catch_up.tick(now)
         self._proposals.tick(now)
-        out.extend(self._prove(now))
-        changed = self._repair.tick(now)
+        out.extend(self._poll_freshness(now))
+        changed = self._voter_repair.tick(now)
         if changed:
             out.append(effects.Log("info", "keepers repaired", changed))
         for expired in self._proposals.take_expired(now):
-            out.extend(_call(expired, now))
-        if self._start.tick(now):
+            out.extend(_run_callbacks(expired, now))
+        if self._readiness.tick(now):
             fields = {"applied": core.commit, "stale": self.stale(now)}
             out.append(effects.Log("info", "state is current", fields))
-        out.extend(self._tell_stale(now))
-        out.extend(self._tell_leader(now))
+        out.extend(self._log_staleness(now))
+        out.extend(self._log_leader(now))
         out.extend(self._finish(now))
         return out
 
-    def _ask_keepers(self, now):
-        """Ask the keepers alone how far they are, right after a start."""
-        ask = self._start.asks_keepers(now)
-        if not ask:
+    def _query_keepers(self, now):
+        """Query only the keepers for their progress, just after the start."""
+        query_id = self._readiness.next_keeper_query(now)
+        if not query_id:
             return []
-        question = self._progress(now, asks=True, ask=ask)
+        query = self._progress_message(now, asks=True, ask=query_id)
         names = self._core.voter_names()
-        found = [
+        addresses = [
             self._neighbours.address_of(name)
             for name in sorted(names | self._bootstrap)
         ]
-        return [effects.SendPeer(item, question) for item in found if item]
+        return [effects.SendPeer(item, query) for item in addresses if item]
 
-    def _prove(self, now):
-        """Ask a keeper how far it is, where that is due."""
-        asked = self._proving.question(self.leader(now), now)
-        if asked is None:
+    def _poll_freshness(self, now):
+        """Poll one keeper for its progress if a poll is due."""
+        target = self._polling.next_query(self.leader(now), now)
+        if target is None:
             return []
-        name, number = asked
+        name, query_id = target
         address = self._neighbours.address_of(name)
         if not address:
             return []
-        question = self._progress(now, asks=True, ask=number)
-        return [effects.SendPeer(address, question)]
+        query = self._progress_message(now, asks=True, ask=query_id)
+        return [effects.SendPeer(address, query)]
 
     def synced(self, ticket, now):
-        """Take note that a write and all before are on the disk."""
+        """Record that a write and all earlier ones are on the disk."""
         self._core.synced(ticket)
         return self._finish(now)
 
     def storage_failed(self, detail, now):
-        """Stop being a keeper; go on serving as a learner."""
+        """Stop acting as a keeper and continue as a learner."""
         self._core.halt()
         fields = {
             "error": detail,
@@ -285,28 +307,47 @@
         ]
 
     def handlers(self):
-        """Return the map from message type to ``handler``."""
+        """Return the handler of each message type.
+
+        A handler is called as ``handler(source, message, now)`` and returns
+        effects.
+        """
         return {
-            messages.VoteRequest: self._guard(self._election.request),
-            messages.VoteReply: self._guard(self._election.reply),
-            messages.AppendRequest: self._guard(self._following.request),
-            messages.AppendReply: self._guard(self._leadership.reply),
-            messages.Fetch: self._guard(self._catch_up.fetch),
-            messages.Committed: self._guard(self._catch_up.committed),
-            messages.CheckpointSent: self._guard(self._catch_up.checkpoint),
-            messages.Propose: self._guard(self._proposed),
-            voters_module.VoterRequest: self._guard(self._voters.requested),
-            voters_module.VoterReply: self._voter_answered,
-            messages.Progress: self._progress_heard,
-            messages.KeeperHello: self._keeper_hello,
+            messages.VoteRequest: self._only_own_log(
+                self._election.handle_vote_request
+            ),
+            messages.VoteReply: self._only_own_log(
+                self._election.handle_vote_reply
+            ),
+            messages.AppendRequest: self._only_own_log(
+                self._follower.handle_append
+            ),
+            messages.AppendReply: self._only_own_log(
+                self._leadership.handle_append_reply
+            ),
+            messages.Fetch: self._only_own_log(self._catch_up.handle_fetch),
+            messages.Committed: self._only_own_log(
+                self._catch_up.handle_committed
+            ),
+            messages.CheckpointSent: self._only_own_log(
+                self._catch_up.handle_checkpoint
+            ),
+            messages.Propose: self._only_own_log(self._handle_propose),
+            voters_module.VoterRequest: self._only_own_log(
+                self._voter_changes.handle_request
+            ),
+            voters_module.VoterReply: self._handle_voter_reply,
+            messages.Progress: self._handle_progress,
+            messages.KeeperHello: self._handle_keeper_hello,
         }
 
-    def _guard(self, handler):
-        """Hand on only messages of the own log.
+    def _only_own_log(self, handler):
+        """Wrap ``handler`` so that it only sees messages of this log.
 
-        A keeper whose log is found to contradict another's must not go on
-        voting and acknowledging on top of it: it stops, and serves on as a
-        learner until somebody has looked.
+        If an invariant is violated, the log of this keeper contradicts that
+        of another one.  It must not vote or acknowledge entries on top of
+        such a log, so it stops acting as a keeper and continues as a learner
+        until an operator has investigated.
         """
 
         def guarded(source, message, now):
@@ -320,58 +361,60 @@
 
         return guarded
 
-    def _proposed(self, source, message, now):
+    def _handle_propose(self, source, message, now):
         core = self._core
         if core.role is core_module.Role.LEADER:
             self._leadership.append(message.body, message.proposal_id, now)
         else:
-            core.send(source.instance, self._progress(now))
+            core.send(source.instance, self._progress_message(now))
 
-    def _keeper_hello(self, source, message, now):
+    def _handle_keeper_hello(self, source, message, now):
         if not self._in_memory:
-            self._founding.hello(source, message, now)
+            self._founding.handle_hello(source, message, now)
         return self._finish(now)
 
-    def _progress_heard(self, source, message, now):
+    def _handle_progress(self, source, message, now):
         core = self._core
         if self._in_memory:
             return []
-        if not core.log_id and not core.disk:
+        if not core.log_id and not core.has_disk:
             core.log_id = message.log_id
         name = source.instance
         if message.log_id == core.log_id:
-            self._proposals.hear_leader(message.leader, now)
+            self._proposals.record_leader(message.leader, now)
             if not message.asks or message.applied:
-                self._catch_up.hear(name, message.applied)
+                self._catch_up.record_progress(name, message.applied)
             if not message.asks:
-                self._start.hear(name, message)
-                self._proving.hear(message)
-            self._freshness.hear(message.confirmed_ago, message.applied, now)
+                self._readiness.handle_answer(name, message)
+                self._polling.handle_answer(message)
+            self._freshness.record_heard(
+                message.confirmed_ago, message.applied, now
+            )
             self._catch_up.tick(now)
-            if self._proposals.wants_leader():
+            if self._proposals.has_unsent():
                 self._proposals.tick(now)
         if message.asks:
-            core.send(name, self._progress(now, ask=message.ask))
+            core.send(name, self._progress_message(now, ask=message.ask))
         return self._finish(now)
 
     def question(self, now):
-        """Return the message that asks an instance how far it is."""
-        return self._progress(now, asks=True)
+        """Return a message that asks an instance for its progress."""
+        return self._progress_message(now, asks=True)
 
-    def _progress(self, now, asks=False, ask=0):
-        """Return how far this instance is.
+    def _progress_message(self, now, asks=False, ask=0):
+        """Return a message with the progress of this instance.
 
-        Only a keeper that hears the leader itself names it.  Were hearsay
-        passed on, two instances that are cut off would tell each other of
-        the lost leader for good, send it writes, and call them unknown
-        that were never sent.
+        Only a keeper in direct contact with the leader names it.  If
+        second-hand information were passed on, two partitioned instances
+        could name the lost leader to each other forever, send it proposals,
+        and report as unknown what never reached anyone.
         """
         core = self._core
         return messages.Progress(
             core.log_id,
             core.commit,
-            self._freshness.heard.ago(now),
-            self._freshness.proven.ago(now),
+            self._freshness.heard.age(now),
+            self._freshness.proven.age(now),
             core.leader if core.is_voter() else "",
             asks,
             ask,
@@ -380,24 +423,25 @@
     # -- effects ----------------------------------------------------------
 
     def _finish(self, now):
-        """Turn what the parts put out into effects."""
+        """Turn the pending output of the core into effects."""
         core = self._core
         out = []
         core.maybe_checkpoint()
         core.flush()
         while core.out:
-            out.extend(self._carry(core.out.popleft(), now))
+            out.extend(self._to_effects(core.out.popleft(), now))
             core.flush()
-        self._freshness.applied()
-        if self._settled < core.commit:
-            # A checkpoint brings results without the entries themselves.
-            self._settled = core.commit
-            for settled in self._proposals.take_known():
-                out.extend(_call(settled, now))
-        out.extend(self._notify(now))
+        self._freshness.on_applied()
+        if self._settled_index < core.commit:
+            # An installed checkpoint carries results without their
+            # entries, so no Applied item was produced for them.
+            self._settled_index = core.commit
+            for settled in self._proposals.take_all_applied():
+                out.extend(_run_callbacks(settled, now))
+        out.extend(self._disseminate(now))
         return out
 
-    def _carry(self, item, now):
+    def _to_effects(self, item, now):
         if isinstance(item, core_module.Send):
             address = self._neighbours.address_of(item.to)
             if not address:
@@ -410,28 +454,30 @@
                 effects.ReplaceLog(item.ticket, item.checkpoint, item.records)
             ]
         entry = item.entry
-        self._leadership.settled(entry)
-        known = self._proposals.take_applied(
+        self._leadership.entry_applied(entry)
+        applied = self._proposals.take_applied(
             type(entry.body), entry.proposal_id
         )
-        return _call(known, now) if known else []
+        return _run_callbacks(applied, now) if applied else []
 
-    def _notify(self, now):
-        """Pass on what is new here, or how far it is where that is due."""
+    def _disseminate(self, now):
+        """Send new entries, and the progress of this instance if due."""
         if self._in_memory or not self._core.log_id:
             return []
         out = []
-        for name, message in self._spreading.due(self._progress(now), now):
+        for name, message in self._dissemination.due(
+            self._progress_message(now), now
+        ):
             address = self._neighbours.address_of(name)
             if address:
                 out.append(effects.SendPeer(address, message))
         return out
 
     def _broadcast(self, message):
-        """Send to everyone or, of many, to the keepers and some others."""
+        """Send to all instances or, if many, to a sample and all keepers."""
         addresses = self._neighbours.addresses()
-        if len(addresses) > ASKED_AT_ONCE:
-            addresses = self._core.rng.sample(addresses, ASKED_AT_ONCE)
+        if len(addresses) > BROADCAST_SAMPLE_SIZE:
+            addresses = self._core.rng.sample(addresses, BROADCAST_SAMPLE_SIZE)
             names = self._core.voter_names()
             for name in sorted(names | self._bootstrap):
                 address = self._neighbours.address_of(name)
@@ -439,23 +485,23 @@
                     addresses.append(address)
         return [effects.SendPeer(item, message) for item in addresses]
 
-    def _tell_leader(self, now):
+    def _log_leader(self, now):
         leader = self.leader(now)
-        if leader == self._was_leader:
+        if leader == self._logged_leader:
             return []
         fields = {
             "leader": leader,
-            "before": self._was_leader,
+            "before": self._logged_leader,
             "term": self._core.term,
         }
-        self._was_leader = leader
+        self._logged_leader = leader
         return [effects.Log("info", "leader of the keepers", fields)]
 
-    def _tell_stale(self, now):
+    def _log_staleness(self, now):
         stale = self.ready and self.stale(now)
-        if stale == self._was_stale:
+        if stale == self._logged_stale:
             return []
-        self._was_stale = stale
+        self._logged_stale = stale
         if not stale:
             return [effects.Log("info", "state is fresh again")]
         fields = {"applied": self._core.commit}
@@ -463,13 +509,13 @@
         return [effects.Log("warning", text, fields)]
 
 
-def _call(settled, now):
-    calls, result = settled
+def _run_callbacks(settled, now):
+    callbacks, result = settled
     out = []
-    for call in calls:
-        out.extend(call(result, now))
+    for callback in callbacks:
+        out.extend(callback(result, now))
     return out
 
 
-def _answered(reply):
+def _voter_answered(reply):
     return effects.VoterAnswered(reply.request_id, reply.message, reply.remedy)
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_core.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_core.py
@@ -1,10 +1,10 @@
-"""The state that the parts of one replica share.
+"""The Raft state of one replica, shared by the classes of the log.
 
-A replica has no I/O.  It answers each message and each tick by filling
-``out`` with :class:`Send`, :class:`Write` and :class:`Rewrite`, and learns
-through :meth:`Core.synced` that a write is on the disk.  Whatever promises
-something that the disk must remember (a vote, an acknowledgement) is held
-back until then.
+A replica performs no I/O.  It responds to each message and each tick by
+appending :class:`Send`, :class:`Write`, :class:`Rewrite` and
+:class:`Applied` items to ``out``, and :meth:`Core.synced` tells it when a
+write is on the disk.  A message that promises something which must survive
+a crash (a vote, an acknowledgement) is held back until then.
 """
 
 import collections
@@ -18,17 +18,18 @@
 from . import quorum_log_machine as machine_module
 from . import quorum_log_records as records
 
-# A checkpoint follows so many entries or bytes of entries, which bounds
-# both the log file and the replay at a restart.
+# A checkpoint is taken after this many entries or bytes of entries.  This
+# bounds both the log file and the replay at a restart.
 CHECKPOINT_ENTRIES = 2048
 CHECKPOINT_BYTES = 4 * 1024 * 1024
-# Entries that stay in memory behind a checkpoint, for those who fetch.
+# Entries before a checkpoint that stay in memory, to serve fetches of
+# instances that are slightly behind.
 TAIL_ENTRIES = 512
 TAIL_BYTES = 2 * 1024 * 1024
 
 
 class Role(enum.Enum):
-    """What a replica is at present."""
+    """The current Raft role of a replica."""
 
     LEARNER = "learner"
     FOLLOWER = "follower"
@@ -45,14 +46,17 @@
 
 
 class Write(msgspec.Struct):
-    """Append ``records`` to the disk and sync; then report ``ticket``."""
+    """Append ``records`` to the log file, sync it, then report ``ticket``."""
 
     ticket: int
     records: list
 
 
 class Rewrite(msgspec.Struct):
-    """Put ``checkpoint`` and ``records`` in place of all; then report."""
+    """Replace the whole log file, sync it, then report ``ticket``.
+
+    Its new content is ``checkpoint`` followed by ``records``.
+    """
 
     ticket: int
     checkpoint: bytes
@@ -60,23 +64,23 @@
 
 
 class Applied(msgspec.Struct):
-    """An entry took effect here, with ``outcome``."""
+    """An entry was applied on this instance, with ``outcome``."""
 
     entry: entries.LogEntry
     outcome: machine_module.Outcome
 
 
 class Core:
-    """Log, term, vote and disk of one replica.
+    """Log, term, vote and pending disk writes of one replica.
 
-    ``disk`` tells whether writes go to a disk; without one they count as
-    synced at once, which suits learners and a lone replica in memory.
+    ``has_disk`` is false on learners and on a replica that is kept in
+    memory; their writes count as synced immediately.
     """
 
     def __init__(self, name, folder, rng, machine):
         self.name = name
         self.folder = folder
-        self.disk = bool(folder)
+        self.has_disk = bool(folder)
         self.rng = rng
         self.machine = machine
         self.log = entries.EntryLog()
@@ -86,46 +90,49 @@
         self.voted_for = ""
         self.role = Role.LEARNER
         self.leader = ""
-        self.leader_heard = float("-inf")
+        self.leader_heard_at = float("-inf")
         self.commit = 0
         self.halted = False
-        # Up to where the own log is on the disk.
-        self.durable = 0
+        # Index up to which the local log is synced to the disk.
+        self.durable_index = 0
         self.checkpoint_index = 0
         self.out = collections.deque()
-        self._unwritten = []
+        self._pending_records = []
         self._ticket = 0
-        self._synced = 0
-        self._held = collections.deque()
-        self._writing = collections.deque()
-        self._leaders = {}
+        self._synced_ticket = 0
+        self._waiting_for_sync = collections.deque()
+        self._writes_in_flight = collections.deque()
+        self._leader_by_term = {}
 
     # -- identity and role ------------------------------------------------
 
     @property
-    def me(self):
-        """Return this replica as a voter."""
+    def own_voter(self):
+        """The identity under which this replica votes."""
         return entries.Voter(self.name, self.folder)
 
     def is_voter(self):
-        """Tell whether this replica may vote at present."""
-        return not self.halted and self.me in self.log.voters
+        """Return whether this replica is currently a voter."""
+        return not self.halted and self.own_voter in self.log.voters
 
     def other_voters(self):
-        """Return the voters beside this one."""
-        return [item for item in self.log.voters if item != self.me]
+        """Return all voters except this replica."""
+        return [item for item in self.log.voters if item != self.own_voter]
 
     def voter_names(self):
-        """Return the names of the keepers that vote, as the log has them."""
+        """Return the names of the voters in the latest configuration."""
         return {item.name for item in self.log.voters}
 
-    def rest(self):
-        """Return to the role of one that neither leads nor stands."""
+    def reset_role(self):
+        """Become a follower, or a learner if this replica does not vote."""
         voter = self.is_voter()
         self.role = Role.FOLLOWER if voter else Role.LEARNER
 
     def enter_term(self, term, voted_for=""):
-        """Move to a later term, or cast the one vote of this one."""
+        """Enter a later term, or cast the vote of the current one.
+
+        Raises :exc:`InvariantBroken` for an earlier term or a second vote.
+        """
         invariants.check(
             term > self.term or (term == self.term and not self.voted_for),
             "one-vote-a-term",
@@ -133,127 +140,144 @@
         )
         self.term = term
         self.voted_for = voted_for
-        self._unwritten.append(records.TermRecord(term, voted_for))
+        self._pending_records.append(records.TermRecord(term, voted_for))
 
     def step_down(self, term):
-        """Take note of a later term."""
+        """Enter ``term`` if it is later, and stop leading or campaigning."""
         if term > self.term:
             self.enter_term(term)
             self.leader = ""
-        self.rest()
+        self.reset_role()
+
+    def accept_leader(self, leader, now):
+        """Record ``leader`` as the leader of the current term.
 
-    def follow(self, leader, now):
-        """Take note that ``leader`` leads the present term."""
-        held = self._leaders.setdefault(self.term, leader)
+        Raises :exc:`InvariantBroken` if the term has another leader.
+        """
+        known = self._leader_by_term.setdefault(self.term, leader)
         invariants.check(
-            held == leader,
+            known == leader,
             "one-leader-a-term",
-            f"{held} and {leader} in term {self.term}",
+            f"{known} and {leader} in term {self.term}",
         )
-        if len(self._leaders) > 16:
-            del self._leaders[min(self._leaders)]
+        if len(self._leader_by_term) > 16:
+            del self._leader_by_term[min(self._leader_by_term)]
         self.leader = leader
-        self.leader_heard = now
+        self.leader_heard_at = now
 
-    # -- sending and the disk ---------------------------------------------
+    # -- messages and disk writes -----------------------------------------
 
     def send(self, to, message):
-        """Send at once."""
+        """Send a message that does not depend on pending writes."""
         self.out.append(Send(to, message))
 
     def send_synced(self, to, message):
-        """Send once all that was written so far is on the disk."""
-        self._held.append((self._needed(), Send(to, message)))
+        """Send a message once all writes so far are on the disk."""
+        self._waiting_for_sync.append(
+            (self._covering_ticket(), Send(to, message))
+        )
 
-    def when_synced(self, call):
-        """Call ``call()`` once all written so far is on the disk."""
-        self._held.append((self._needed(), call))
+    def when_synced(self, callback):
+        """Call ``callback()`` once all writes so far are on the disk."""
+        self._waiting_for_sync.append((self._covering_ticket(), callback))
 
-    def _needed(self):
-        return self._ticket + (1 if self._unwritten else 0)
+    def _covering_ticket(self):
+        return self._ticket + (1 if self._pending_records else 0)
 
     def flush(self):
-        """Hand what is unwritten to the disk; ends each event."""
-        if self._unwritten:
-            data = [records.encode(item) for item in self._unwritten]
-            self._unwritten = []
+        """Submit the pending records as one write.
+
+        This is called at the end of each event.
+        """
+        if self._pending_records:
+            data = [records.encode(item) for item in self._pending_records]
+            self._pending_records = []
             self._ticket += 1
-            self._hand(Write(self._ticket, data))
-        self._release()
+            self._submit(Write(self._ticket, data))
+        self._release_synced()
 
-    def _hand(self, write):
-        self._writing.append([write.ticket, self.log.last_index])
-        if self.disk and not self.halted:
+    def _submit(self, write):
+        self._writes_in_flight.append([write.ticket, self.log.last_index])
+        if self.has_disk and not self.halted:
             self.out.append(write)
-        elif not self.disk:
+        elif not self.has_disk:
             self.synced(write.ticket)
 
     def synced(self, ticket):
-        """Take note that the write ``ticket`` and all before are synced."""
-        self._synced = max(self._synced, ticket)
-        while self._writing and self._writing[0][0] <= ticket:
-            self.durable = self._writing.popleft()[1]
-        self._release()
-
-    def _release(self):
-        while self._held and self._held[0][0] <= self._synced:
-            _, item = self._held.popleft()
+        """Record that the write ``ticket`` and all earlier are synced."""
+        self._synced_ticket = max(self._synced_ticket, ticket)
+        while (
+            self._writes_in_flight and self._writes_in_flight[0][0] <= ticket
+        ):
+            self.durable_index = self._writes_in_flight.popleft()[1]
+        self._release_synced()
+
+    def _release_synced(self):
+        while (
+            self._waiting_for_sync
+            and self._waiting_for_sync[0][0] <= self._synced_ticket
+        ):
+            _, item = self._waiting_for_sync.popleft()
             if isinstance(item, Send):
                 self.out.append(item)
             else:
                 item()
 
     def halt(self):
-        """Stop being a keeper after the disk failed.
+        """Stop acting as a keeper, because the disk or the log is unsafe.
 
-        What a failed sync left on the disk is unknown, and a second sync
-        may report success without having written it (Rebello et al.,
-        "Can Applications Recover from fsync Failures?", 2020).  So nothing
-        that was waiting for it is ever sent.
+        After a failed sync, the content of the disk is unknown, and a second
+        sync may report success without having written the data (Rebello et
+        al., "Can Applications Recover from fsync Failures?", 2020).  So
+        messages that were waiting for a sync are dropped.
         """
         self.halted = True
-        self._held.clear()
-        self._writing.clear()
-        self._unwritten = []
+        self._waiting_for_sync.clear()
+        self._writes_in_flight.clear()
+        self._pending_records = []
         self.leader = ""
-        self.rest()
+        self.reset_role()
 
     # -- the log ----------------------------------------------------------
 
     def append(self, entry):
-        """Add an entry, in place of whatever stood there uncommitted."""
+        """Append an entry, truncating conflicting uncommitted entries.
+
+        Raises :exc:`InvariantBroken` if a committed entry is in the way.
+        """
         log = self.log
         if entry.index <= log.last_index:
             invariants.check(
                 entry.index > self.commit,
                 "committed-never-lost",
-                f"{self.name} would cut {entry.index}, {self.commit} done",
+                f"{self.name} would truncate at {entry.index}, below its"
+                f" commit index {self.commit}",
             )
             log.truncate(entry.index)
-            self.durable = min(self.durable, entry.index - 1)
-            for writing in self._writing:
+            self.durable_index = min(self.durable_index, entry.index - 1)
+            for writing in self._writes_in_flight:
                 writing[1] = min(writing[1], entry.index - 1)
         log.append(entry)
-        if self.disk:
-            self._unwritten.append(entry)
+        if self.has_disk:
+            self._pending_records.append(entry)
         else:
-            self.durable = entry.index
+            self.durable_index = entry.index
 
     def check_committed(self, index, term):
-        """Check that what others say of a committed position agrees.
+        """Check that a committed entry has the term another replica reports.
 
-        A position that was committed twice, with different entries, means
-        that a majority forgot what it had acknowledged.
+        If two different entries were committed at the same index, a majority
+        has lost entries that it had acknowledged.
         """
-        held = self.log.term_at(index)
+        known = self.log.term_at(index)
         invariants.check(
-            index > self.commit or held in (None, term),
+            index > self.commit or known in (None, term),
             "committed-never-changed",
-            f"{self.name} has {index} of term {held}, not {term}",
+            f"{self.name} has {index} of term {known}, not {term}",
         )
 
-    def advance(self, commit):
-        """Apply the entries up to ``commit``."""
+    def advance_commit(self, commit):
+        """Advance the commit index to ``commit`` and apply the entries."""
         while self.commit < commit:
             entry = self.log.get(self.commit + 1)
             self.commit += 1
@@ -261,7 +285,7 @@
             self.out.append(Applied(entry, outcome))
 
     def restore(self, restored):
-        """Start from what the disk had."""
+        """Start from the state that was read from the disk."""
         checkpoint = restored.checkpoint
         self.log_id = checkpoint.log_id
         self.founders = checkpoint.founders
@@ -269,17 +293,17 @@
         self.commit = checkpoint.index
         self.checkpoint_index = checkpoint.index
         self.log = restored.log
-        self.durable = self.log.last_index
+        self.durable_index = self.log.last_index
         self.term = max(restored.term, self.log.last_term)
         self.voted_for = ""
         if self.term == restored.term:
             self.voted_for = restored.voted_for
-        self.rest()
+        self.reset_role()
 
     # -- checkpoints ------------------------------------------------------
 
-    def checkpoint(self):
-        """Return the state at the present commit."""
+    def make_checkpoint(self):
+        """Return a checkpoint of the state at the commit index."""
         invariants.check(
             self.log.voters_at(self.commit),
             "checkpoint-names-voters",
@@ -295,7 +319,7 @@
         )
 
     def maybe_checkpoint(self):
-        """Write a checkpoint where enough has gathered behind the last."""
+        """Take a checkpoint if enough was committed since the last one."""
         log = self.log
         many = self.commit - self.checkpoint_index >= CHECKPOINT_ENTRIES
         large = log.size >= CHECKPOINT_BYTES and (
@@ -303,20 +327,20 @@
         )
         if not (many or large):
             return
-        if self.disk:
-            self.rewrite()
+        if self.has_disk:
+            self.rewrite_log()
         self.checkpoint_index = self.commit
         self._compact()
 
-    def rewrite(self):
-        """Have the disk hold a checkpoint and what follows it only."""
+    def rewrite_log(self):
+        """Replace the log file by a checkpoint and the entries after it."""
         self.flush()
-        data = records.encode(self.checkpoint())
+        data = records.encode(self.make_checkpoint())
         term = records.TermRecord(self.term, self.voted_for)
-        later = self.log.after(self.commit, len(self.log))
+        later = self.log.entries_after(self.commit, len(self.log))
         kept = [records.encode(item) for item in (term, *later)]
         self._ticket += 1
-        self._hand(Rewrite(self._ticket, data, kept))
+        self._submit(Rewrite(self._ticket, data, kept))
 
     def _compact(self):
         log = self.log
@@ -326,8 +350,8 @@
             keep //= 2
             log.compact(self.commit - keep)
 
-    def install(self, checkpoint):
-        """Take over a checkpoint that is ahead of this replica."""
+    def install_checkpoint(self, checkpoint):
+        """Install a checkpoint that is ahead of this replica."""
         log = self.log
         agrees = log.term_at(checkpoint.index) == checkpoint.term
         self.machine.load(checkpoint)
@@ -335,14 +359,15 @@
         self.commit = checkpoint.index
         self.checkpoint_index = checkpoint.index
         if agrees:
-            # What follows in the own log may have been acknowledged.
+            # Entries after the checkpoint are kept: this replica may have
+            # acknowledged them.
             log.compact(checkpoint.index)
         else:
             log.reset(checkpoint.index, checkpoint.term, checkpoint.voters)
         if checkpoint.term > self.term:
             self.enter_term(checkpoint.term)
-        if self.disk:
-            self.rewrite()
-        self.durable = min(self.durable, log.last_index)
+        if self.has_disk:
+            self.rewrite_log()
+        self.durable_index = min(self.durable_index, log.last_index)
         if self.role in (Role.LEARNER, Role.FOLLOWER):
-            self.rest()
+            self.reset_role()
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_election.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_election.py
@@ -1,9 +1,9 @@
-"""Elections: who leads, one leader a term at the most.
+"""Leader election, with at most one leader per term.
 
-A replica first asks whether it *would* be elected (pre-vote, Ongaro 2014,
-section 9.6), without touching its term.  So an instance that comes back
-from a long isolation deposes nobody: the others still hear their leader
-and say no.
+Before a replica increments its term, it asks whether it *would* be elected
+(pre-vote, Ongaro 2014, section 9.6).  So an instance that returns from a
+long partition does not depose a working leader: the others still hear that
+leader and reject the pre-vote.
 """
 
 from . import quorum_log_core as core_module
@@ -12,23 +12,24 @@
 
 Role = core_module.Role
 
-# A leader is heard five times within the shortest timeout, so that one
-# lost batch does not start an election; failing over takes 1 to 2 s, well
-# within the 3 s in which a change is to be in force.
-HEARTBEAT = 0.2
-SHORTEST_TIMEOUT = 1.0
-TIMEOUT_SPREAD = 1.0
-# Enough for the other founders to learn that they are.
-FOUNDER_WAITS = 0.3
-# A keeper that has just started asks for votes this soon, plus a part of the
-# spread: where all of them restarted together nobody leads, and where one
-# leads the pre-vote changes nothing.  It saves a second of every recovery.
-RESTART_WAITS = 0.2
-RESTART_SPREAD = 0.5
+# Five heartbeats fit into the shortest election timeout, so that one lost
+# batch does not start an election.  A failover takes 1 to 2 s, well within
+# the 3 s in which a configuration change has to take effect.
+HEARTBEAT_INTERVAL_SECONDS = 0.2
+MIN_TIMEOUT_SECONDS = 1.0
+TIMEOUT_JITTER_SECONDS = 1.0
+# Long enough for the other founders to learn that the log was founded.
+FOUNDER_DELAY_SECONDS = 0.3
+# A keeper that has just restarted campaigns after this delay plus a random
+# part of the jitter.  If all keepers restarted together there is no leader to
+# wait for, and if there is one the pre-vote changes nothing.  This saves a
+# second of every recovery.
+RESTART_DELAY_SECONDS = 0.2
+RESTART_JITTER_SECONDS = 0.5
 
 
 class Election:
-    """Asks for votes and gives them."""
+    """Campaigns for leadership and votes for other candidates."""
 
     def __init__(self, core, on_elected):
         self._core = core
@@ -36,43 +37,43 @@
         self._votes = set()
         self._deadline = None
 
-    def restart(self, now):
-        """Wait a full timeout, drawn anew, before standing."""
-        spread = self._core.rng.random() * TIMEOUT_SPREAD
-        self._deadline = now + SHORTEST_TIMEOUT + spread
+    def reset_timeout(self, now):
+        """Restart the election timeout with a new random length."""
+        jitter = self._core.rng.random() * TIMEOUT_JITTER_SECONDS
+        self._deadline = now + MIN_TIMEOUT_SECONDS + jitter
 
-    def _begin(self, now):
-        """Wait for a leader, but not as long as later on."""
+    def _set_first_timeout(self, now):
+        """Set the first election timeout, which is shorter where possible."""
         log = self._core.log
         if log.last_index > 0:
-            spread = self._core.rng.random() * RESTART_SPREAD
-            self._deadline = now + RESTART_WAITS + spread
+            jitter = self._core.rng.random() * RESTART_JITTER_SECONDS
+            self._deadline = now + RESTART_DELAY_SECONDS + jitter
             return
-        self.restart(now)
-        if log.voters[0] == self._core.me:
-            # Of a new log, one founder stands at once.
-            self._deadline = now + FOUNDER_WAITS
+        self.reset_timeout(now)
+        if log.voters[0] == self._core.own_voter:
+            # In a new log, the first founder campaigns almost at once.
+            self._deadline = now + FOUNDER_DELAY_SECONDS
 
     def tick(self, now):
-        """Stand for election where no leader was heard for long."""
+        """Start an election once the election timeout has passed."""
         core = self._core
         if not core.is_voter() or core.role is Role.LEADER:
             return
         if self._deadline is None:
-            self._begin(now)
-        # A lone voter has nobody to wait for; once a candidate, it waits
-        # for its disk like any other.
-        waiting = core.role is Role.CANDIDATE or core.other_voters()
-        if now < self._deadline and waiting:
+            self._set_first_timeout(now)
+        # A single voter does not wait for a leader.  As a candidate it waits
+        # until its own vote is on the disk, like any other.
+        must_wait = core.role is Role.CANDIDATE or core.other_voters()
+        if now < self._deadline and must_wait:
             return
-        self.restart(now)
+        self.reset_timeout(now)
         core.leader = ""
         core.role = Role.PRE_CANDIDATE
-        self._ask(core.term + 1, True, now)
+        self._request_votes(core.term + 1, True, now)
 
-    def _ask(self, term, pre, now):
+    def _request_votes(self, term, pre, now):
         core = self._core
-        self._votes = {core.me}
+        self._votes = {core.own_voter}
         request = messages.VoteRequest(
             core.log_id,
             core.folder,
@@ -83,39 +84,41 @@
         )
         for voter in core.other_voters():
             core.send_synced(voter.name, request)
-        self._count(now)
+        self._count_votes(now)
 
-    def _count(self, now):
+    def _count_votes(self, now):
         core = self._core
         voters = core.log.voters
-        given = sum(1 for item in voters if item in self._votes)
-        if given < entries.majority(voters):
+        vote_count = sum(1 for item in voters if item in self._votes)
+        if vote_count < entries.majority(voters):
             return
         if core.role is Role.PRE_CANDIDATE:
             core.role = Role.CANDIDATE
             core.enter_term(core.term + 1, core.name)
-            self._ask(core.term, False, now)
+            self._request_votes(core.term, False, now)
         elif core.role is Role.CANDIDATE:
-            # The own vote counts only once it is on the disk.
+            # The candidate's own vote counts only once it is on the disk.
             term = core.term
-            core.when_synced(lambda: self._elected(term, now))
+            core.when_synced(lambda: self._become_leader(term, now))
 
-    def _elected(self, term, now):
+    def _become_leader(self, term, now):
         core = self._core
         if core.role is Role.CANDIDATE and core.term == term:
             self._on_elected(now)
 
-    def request(self, source, message, now):
-        """Answer a vote request."""
+    def handle_vote_request(self, source, message, now):
+        """Reply to a vote or pre-vote request."""
         core = self._core
         if not core.is_voter():
             return
-        heard = now - core.leader_heard < SHORTEST_TIMEOUT and core.leader
-        if heard or core.role is Role.LEADER:
+        hears_leader = (
+            now - core.leader_heard_at < MIN_TIMEOUT_SECONDS and core.leader
+        )
+        if hears_leader or core.role is Role.LEADER:
             self._reply(source, message, False)
             return
         if message.pre:
-            granted = message.term > core.term and self._not_older(message)
+            granted = message.term > core.term and self._is_up_to_date(message)
             self._reply(source, message, granted)
             return
         if message.term > core.term:
@@ -123,18 +126,21 @@
         granted = (
             message.term == core.term
             and core.voted_for in ("", source.instance)
-            and self._not_older(message)
+            and self._is_up_to_date(message)
         )
         if granted and not core.voted_for:
             core.enter_term(core.term, source.instance)
-            self.restart(now)
+            self.reset_timeout(now)
         self._reply(source, message, granted)
 
-    def _not_older(self, message):
-        """Tell whether the candidate's log has all that this one has."""
+    def _is_up_to_date(self, message):
+        """Return whether the candidate's log is at least as up to date.
+
+        Logs are compared by the term, then by the index of the last entry.
+        """
         log = self._core.log
-        asked = (message.last_term, message.last_index)
-        return asked >= (log.last_term, log.last_index)
+        candidate = (message.last_term, message.last_index)
+        return candidate >= (log.last_term, log.last_index)
 
     def _reply(self, source, message, granted):
         core = self._core
@@ -144,19 +150,19 @@
         )
         core.send_synced(source.instance, reply)
 
-    def reply(self, source, message, now):
-        """Count a vote."""
+    def handle_vote_reply(self, source, message, now):
+        """Count a vote or pre-vote."""
         core = self._core
         if not message.granted:
             if message.term > core.term:
                 core.step_down(message.term)
             return
-        wanted = core.term
+        expected_term = core.term
         if core.role is Role.PRE_CANDIDATE and message.pre:
-            wanted += 1
+            expected_term += 1
         elif core.role is not Role.CANDIDATE or message.pre:
             return
-        if message.term == wanted:
+        if message.term == expected_term:
             voter = entries.Voter(source.instance, message.folder)
             self._votes.add(voter)
-            self._count(now)
+            self._count_votes(now)
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_entries.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_entries.py
@@ -1,8 +1,8 @@
-"""Entries of the quorum log, and the part of the log held in memory.
+"""Log entries, and the part of the log that is held in memory.
 
-An entry's body is one of the tagged structs of ``ALL``.  To add a kind of
-entry, define its struct with a tag of its own, add it to ``ALL`` here and
-register its applier (see :mod:`.quorum_log`).
+The body of an entry is one of the tagged structs in ``ALL``.  To add an entry
+type, define a struct with a unique tag, add it to ``ALL`` and register an
+applier for it (see :mod:`.quorum_log`).
 """
 
 import typing
@@ -19,11 +19,11 @@
 
 
 class Voter(msgspec.Struct, frozen=True, order=True):
-    """A keeper that votes.
+    """A voting member of the log: a keeper with a certain data folder.
 
-    ``folder`` identifies its data folder.  A keeper that lost its disk
-    comes back with another folder, and so as another voter: what the lost
-    folder had acknowledged is never taken for granted again.
+    ``folder`` is the identity of the data folder.  A keeper that lost its
+    disk comes back with a new folder and therefore as a different voter, so
+    acknowledgements of the lost folder do not count for the new one.
     """
 
     name: str
@@ -31,19 +31,19 @@
 
 
 class NoOp(msgspec.Struct, tag="no_op"):
-    """First entry of each leader; commits the entries before it."""
+    """The first entry of a term; its commit commits all earlier entries."""
 
 
 class ReadMark(msgspec.Struct, tag="read_mark"):
-    """Changes nothing; who has applied it has all that came before.
+    """An entry without effect that makes a read linearizable.
 
-    A read that must not be stale proposes one and waits for it: the state
-    is then at least as new as at any moment before the read began.
+    The reader proposes one and waits until it is applied locally.  The state
+    then contains every write that was committed before the read began.
     """
 
 
 class VoterChange(msgspec.Struct, tag="voters"):
-    """Replaces the set of voters, by one voter more or one less."""
+    """A configuration change that adds or removes one voter."""
 
     voters: list[Voter]
 
@@ -64,11 +64,12 @@
 
 
 class LogEntry(msgspec.Struct, tag="entry"):
-    """One position of the log.
+    """One entry of the log.
 
-    ``proposal_id`` names the proposal, so that the instance that made it
-    knows the result and a repeated proposal takes effect once.  ``size``
-    is the length of the encoded body in bytes, which bounds memory.
+    ``proposal_id`` is the idempotency key of the proposal: it matches the
+    result to the proposer, and a repeated proposal takes effect once.
+    ``size`` is the length of the encoded body in bytes; it is used to limit
+    the memory and messages that entries take.
     """
 
     index: int
@@ -79,7 +80,7 @@
 
 
 class EntryLog:
-    """The entries after ``base``; all up to ``base`` is in a checkpoint."""
+    """The entries after index ``base``; a checkpoint covers the rest."""
 
     __slots__ = ("base", "base_term", "size", "_entries", "_voters")
 
@@ -87,7 +88,7 @@
         self.reset(base, base_term, voters)
 
     def reset(self, base, base_term, voters):
-        """Drop every entry; a checkpoint at ``base`` stands for them."""
+        """Drop all entries and continue from a checkpoint at ``base``."""
         self.base = base
         self.base_term = base_term
         self.size = 0
@@ -99,34 +100,34 @@
 
     @property
     def last_index(self):
-        """Return the position of the last entry."""
+        """The index of the last entry."""
         return self.base + len(self._entries)
 
     @property
     def last_term(self):
-        """Return the term of the last entry."""
+        """The term of the last entry."""
         return self._entries[-1].term if self._entries else self.base_term
 
     @property
     def voters(self):
-        """Return the voters of the newest voter change, committed or not.
+        """The voters of the latest configuration, committed or not.
 
-        A change of voters is obeyed from the moment it is appended
-        (Ongaro, "Consensus", 2014, section 4.1).
+        A configuration takes effect as soon as it is appended (Ongaro,
+        "Consensus: Bridging Theory and Practice", 2014, section 4.1).
         """
         return self._voters[-1][1]
 
     @property
     def voters_index(self):
-        """Return the position of the newest voter change."""
+        """The index of the latest configuration change."""
         return self._voters[-1][0]
 
     def voters_at(self, index):
-        """Return the voters in force at ``index``."""
-        return [held for at, held in self._voters if at <= index][-1]
+        """Return the voters of the configuration at ``index``."""
+        return [voters for start, voters in self._voters if start <= index][-1]
 
     def term_at(self, index):
-        """Return the term at ``index``, or ``None`` where not held."""
+        """Return the term at ``index``, or ``None`` if not in memory."""
         if index == self.base:
             return self.base_term
         if self.base < index <= self.last_index:
@@ -134,36 +135,37 @@
         return None
 
     def get(self, index):
-        """Return the entry at ``index``, which must be held."""
+        """Return the entry at ``index``, which must be in memory."""
         return self._entries[index - self.base - 1]
 
-    def after(self, index, most, most_bytes=None):
-        """Return up to ``most`` entries that follow ``index``.
+    def entries_after(self, index, max_entries, max_bytes=None):
+        """Return up to ``max_entries`` entries that follow ``index``.
 
-        They come to ``most_bytes`` or less, but for a single larger one.
+        With ``max_bytes``, their total size is limited too, but the first
+        entry is always returned, even if it is larger.
         """
         start = index - self.base
-        found = self._entries[start : start + most]
-        if most_bytes is None:
+        found = self._entries[start : start + max_entries]
+        if max_bytes is None:
             return found
         total = 0
-        for place, entry in enumerate(found):
+        for position, entry in enumerate(found):
             total += entry.size
-            if place and total > most_bytes:
-                return found[:place]
+            if position and total > max_bytes:
+                return found[:position]
         return found
 
-    def size_of(self, after, last):
-        """Return the bytes of the entries from ``after`` + 1 to ``last``."""
-        held = self._entries[max(0, after - self.base) : last - self.base]
-        return sum(entry.size for entry in held)
+    def bytes_between(self, after, last):
+        """Return the size in bytes of entries ``after`` + 1 to ``last``."""
+        found = self._entries[max(0, after - self.base) : last - self.base]
+        return sum(entry.size for entry in found)
 
     def append(self, entry):
-        """Add the next entry."""
+        """Append the next entry, which must follow the last one."""
         invariants.check(
             entry.index == self.last_index + 1,
             "log-has-no-gaps",
-            f"{entry.index} after {self.last_index}",
+            f"entry {entry.index} appended after {self.last_index}",
         )
         self._entries.append(entry)
         self.size += entry.size
@@ -179,7 +181,7 @@
             self._voters.pop()
 
     def compact(self, index):
-        """Drop the entries up to ``index``, which a checkpoint covers."""
+        """Drop the entries up to ``index``, covered by a checkpoint."""
         if index <= self.base:
             return
         voters = self.voters_at(index)
@@ -194,5 +196,5 @@
 
 
 def majority(voters):
-    """Return how many of ``voters`` make a majority."""
+    """Return the number of voters that form a majority of ``voters``."""
     return len(voters) // 2 + 1
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_follower.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_follower.py
@@ -1,6 +1,6 @@
-"""Replication, the follower's side: taking in what a leader sends.
+"""Log replication on a follower.
 
-An acknowledgement leaves only once what it acknowledges is on the disk.
+An acknowledgement is sent only once the acknowledged entries are on disk.
 """
 
 from .. import invariants
@@ -10,18 +10,18 @@
 Role = core_module.Role
 
 
-class Following:
-    """The follower's side."""
+class Follower:
+    """Processes the append requests of a leader."""
 
-    def __init__(self, core, elections, freshness):
+    def __init__(self, core, election, freshness):
         self._core = core
-        self._election = elections
+        self._election = election
         self._freshness = freshness
 
-    def request(self, source, message, now):
-        """Take in entries or a heartbeat."""
+    def handle_append(self, source, message, now):
+        """Process an append request, which may be a mere heartbeat."""
         core = self._core
-        if not core.disk or core.halted:
+        if not core.has_disk or core.halted:
             return
         if message.term < core.term:
             self._reply(source, message, False, 0)
@@ -31,26 +31,29 @@
         invariants.check(
             core.role is not Role.LEADER,
             "one-leader-a-term",
-            f"{core.name} and {source.instance} in term {message.term}",
+            f"{core.name} and {source.instance} both lead term {message.term}",
         )
-        core.rest()
-        core.follow(source.instance, now)
-        self._election.restart(now)
-        self._take(source, message, now)
+        core.reset_role()
+        core.accept_leader(source.instance, now)
+        self._election.reset_timeout(now)
+        self._append_entries(source, message, now)
 
-    def _take(self, source, message, now):
+    def _append_entries(self, source, message, now):
         core = self._core
-        self._freshness.hear(message.confirmed_ago, message.commit, now)
+        self._freshness.record_heard(
+            message.confirmed_ago, message.commit, now
+        )
         log = core.log
         previous = message.previous_index
         core.check_committed(previous, message.previous_term)
         if previous > core.commit and (
             log.term_at(previous) != message.previous_term
         ):
-            # The leader tries again further back: where this log ends, or
-            # one before; what is committed agrees for certain.
-            hint = min(log.last_index, previous - 1)
-            self._reply(source, message, False, max(hint, core.commit))
+            # The leader retries from an earlier index: the end of this log
+            # or the entry before the mismatch, but not before the commit
+            # index, up to which the logs agree.
+            retry_from = min(log.last_index, previous - 1)
+            self._reply(source, message, False, max(retry_from, core.commit))
             return
         for entry in message.entries:
             if entry.index <= core.commit:
@@ -60,7 +63,7 @@
                 core.append(entry)
         match = previous + len(message.entries)
         match = max(match, core.commit)
-        core.advance(min(message.commit, match))
+        core.advance_commit(min(message.commit, match))
         self._reply(source, message, True, match)
 
     def _reply(self, source, message, agreed, match):
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_freshness.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_freshness.py
@@ -1,24 +1,24 @@
-"""How recent the state of this instance is known to be.
+"""Bounds on how old the state of this instance may be.
 
-A leader that hears from a majority knows that nobody else committed
-anything meanwhile.  That knowledge travels with its messages, and from
-instance to instance, as an age: it needs no common clock, and an instance
-that is cut off sees the age grow.
+A leader that hears from a majority knows that no other leader has committed
+anything in the meantime.  It passes this confirmation on in its messages,
+and instances pass it on to each other, as an age in seconds: no common clock
+is needed, and on a partitioned instance the age grows.
 
-An age that came with a message is too young by the time that the message
-took.  For calling oneself stale after ten seconds that does not matter.
-What must be certain is *proven* only by an answer: the asker counts from
-when it asked, which was before the answer was given.
+An age received in a message is too low by the transit time of the message.
+That is accurate enough to report staleness after ten seconds.  A guaranteed
+(*proven*) bound needs a request and a reply: the requester counts from the
+time at which it sent the request, which was before the reply was made.
 """
 
-# Heartbeats and notices come every second or so; after this long without
-# any confirmation an instance calls itself stale.
-STALE_AFTER = 10.0
+# Confirmations arrive about every second.  After this long without one, an
+# instance reports that its state is stale.
+STALE_AFTER_SECONDS = 10.0
 NEVER = float("-inf")
 
 
 class Confirmation:
-    """When this instance last had everything that was committed."""
+    """The last time at which this instance had all committed entries."""
 
     __slots__ = ("at", "_machine", "_waiting", "_newest")
 
@@ -28,8 +28,8 @@
         self._waiting = None
         self._newest = None
 
-    def take(self, at, commit):
-        """Take note that ``commit`` was all that was committed at ``at``."""
+    def record(self, at, commit):
+        """Record that ``commit`` was the commit index at time ``at``."""
         if at <= self.at:
             return
         if self._machine.applied >= commit:
@@ -39,24 +39,25 @@
         else:
             self._newest = (at, commit)
 
-    def applied(self):
-        """Take note that the applied version grew.
+    def on_applied(self):
+        """Update the confirmation after more entries were applied.
 
-        The oldest thing waited for is kept until it is reached, so that an
-        instance which is always a little behind still counts as fresh.
+        The oldest unconfirmed commit index is kept until it is reached, so
+        that an instance which is always slightly behind still counts as
+        fresh.
         """
         while self._waiting and self._machine.applied >= self._waiting[1]:
             self.at = max(self.at, self._waiting[0])
             self._waiting = self._newest
             self._newest = None
 
-    def ago(self, now):
-        """Return the age of the last confirmation, or -1 without any."""
+    def age(self, now):
+        """Return the seconds since the last confirmation, or -1 if none."""
         return -1.0 if self.at == NEVER else max(0.0, now - self.at)
 
 
 class Freshness:
-    """What was heard of, and what is proven; times on the own clock."""
+    """The last heard and the last proven confirmation, on the local clock."""
 
     __slots__ = ("heard", "proven")
 
@@ -65,26 +66,26 @@
         self.proven = Confirmation(machine)
 
     def confirm(self, at, commit):
-        """Take in what a majority confirmed to this instance itself."""
-        self.heard.take(at, commit)
-        self.proven.take(at, commit)
-
-    def hear(self, ago, commit, now):
-        """Take in an age that came with a message."""
-        if ago >= 0:
-            self.heard.take(now - ago, commit)
-
-    def prove(self, ago, commit, asked_at):
-        """Take in the age in an answer to what was asked at ``asked_at``."""
-        if ago >= 0:
-            self.proven.take(asked_at - ago, commit)
-            self.heard.take(asked_at - ago, commit)
-
-    def applied(self):
-        """Take note that the applied version grew."""
-        self.heard.applied()
-        self.proven.applied()
+        """Record a confirmation that a majority gave to this leader."""
+        self.heard.record(at, commit)
+        self.proven.record(at, commit)
+
+    def record_heard(self, age, commit, now):
+        """Record an age that was received in a message."""
+        if age >= 0:
+            self.heard.record(now - age, commit)
+
+    def record_proven(self, age, commit, asked_at):
+        """Record the age in the reply to a request sent at ``asked_at``."""
+        if age >= 0:
+            self.proven.record(asked_at - age, commit)
+            self.heard.record(asked_at - age, commit)
+
+    def on_applied(self):
+        """Update both confirmations after more entries were applied."""
+        self.heard.on_applied()
+        self.proven.on_applied()
 
     def stale(self, now):
-        """Tell whether nothing was confirmed for a while."""
-        return now - self.heard.at > STALE_AFTER
+        """Return whether the last confirmation is too long ago."""
+        return now - self.heard.at > STALE_AFTER_SECONDS
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_leader.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_leader.py
@@ -1,8 +1,9 @@
-"""Replication, the leader's side.
+"""Log replication on the leader.
 
-An entry is committed once a majority of voters has it on its disks and it
-is of the leader's own term, or precedes one that is (Ongaro and Ousterhout,
-"In Search of an Understandable Consensus Algorithm", 2014, section 5.4.2).
+An entry is committed once a majority of the voters has it on disk and it
+is of the leader's current term, or precedes such an entry (Ongaro and
+Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014,
+section 5.4.2).
 """
 
 import msgspec
@@ -15,67 +16,70 @@
 
 Role = core_module.Role
 
-# Entries in one message; at a few hundred bytes each, well below the body
-# limit of the peer listener.
-BATCH = 256
-# Large entries, whole configurations of half a megabyte and more, go out a
-# few at a time.
-BATCH_BYTES = 1024 * 1024
-# What is on its way to a follower is sent again once it must have arrived
-# over a link so slow, and at each heartbeat only below the second figure.
-# Sent again at each heartbeat, large entries pile up five times a second
-# before every follower that decodes slowly (``test_large_entries``).
+# Entries in one append request.  At a few hundred bytes each, they stay well
+# below the body limit of the peer listener.
+MAX_BATCH_ENTRIES = 256
+# Limits the number of large entries (whole configurations of half a megabyte
+# and more) in one append request.
+MAX_BATCH_BYTES = 1024 * 1024
+# Unacknowledged entries are sent again once they would have arrived even over
+# a link of this speed, in bytes per second.  Only up to
+# SMALL_IN_FLIGHT_BYTES are sent again at each heartbeat: large entries would
+# queue up five times a second at every follower that decodes slowly
+# (``test_large_entries``).
 SLOW_LINK_BYTES = 500_000.0
-SMALL_BYTES = 32 * 1024
+SMALL_IN_FLIGHT_BYTES = 32 * 1024
 # A leader that has not heard from a majority for this long steps down, so
-# that it stops taking writes that it cannot commit.
-QUORUM_SILENT_AFTER = 2.0
-# A new keeper may become a voter once it is this close to the end of the
-# log: one batch, which is a fraction of a second.
-CAUGHT_UP_WITHIN = 64
-
-
-class Peer(msgspec.Struct):
-    """What a leader knows of one that follows it.
-
-    ``match`` is synced there; ``next`` is sent next; ``round`` is the
-    newest heartbeat answered and ``heard`` when.  ``flying`` are the bytes of
-    entries that went out to it and were not acknowledged, the last of them
-    at ``sent``.
+# that it stops accepting writes that it cannot commit.
+QUORUM_TIMEOUT_SECONDS = 2.0
+# A joining keeper becomes a voter once it is within this many entries of the
+# end of the log.  One batch covers them, in a fraction of a second.
+MAX_JOIN_LAG_ENTRIES = 64
+
+
+class FollowerProgress(msgspec.Struct):
+    """Replication progress of one follower, as the leader sees it.
+
+    ``match_index`` is the highest index known to be synced there and
+    ``next_index`` the next one to send.  ``acked_round`` is the latest
+    broadcast that it answered, and ``heard_at`` the time of its last reply.
+    ``in_flight_bytes`` is the size of the entries that were sent and not
+    acknowledged, the last of them at ``sent_at``.  ``replied`` is true if it
+    has replied since the last heartbeat.
     """
 
-    next: int
-    match: int = 0
-    round: int = 0
-    heard: float = float("-inf")
-    flying: int = 0
-    sent: float = float("-inf")
-    moved: bool = False
+    next_index: int
+    match_index: int = 0
+    acked_round: int = 0
+    heard_at: float = float("-inf")
+    in_flight_bytes: int = 0
+    sent_at: float = float("-inf")
+    replied: bool = False
 
 
 class Leadership:
-    """The leader's side."""
+    """Appends, replicates and commits entries while this replica leads."""
 
     def __init__(self, core, freshness):
         self._core = core
         self._freshness = freshness
-        self._peers = {}
+        self._progress_by_voter = {}
         self._round = 0
-        self._rounds = {}
+        self._round_sent_at = {}
         self._next_heartbeat = 0.0
-        self._since = 0.0
-        self._now = 0.0
+        self._leader_since = 0.0
+        self._last_event_at = 0.0
         self.joining = None
         self._in_flight = set()
 
-    def begin(self, now):
-        """Lead the present term."""
+    def become_leader(self, now):
+        """Become the leader of the current term."""
         core = self._core
         core.role = Role.LEADER
-        core.follow(core.name, now)
-        self._peers = {}
-        self._rounds = {}
-        self._since = now
+        core.accept_leader(core.name, now)
+        self._progress_by_voter = {}
+        self._round_sent_at = {}
+        self._leader_since = now
         self._in_flight = set()
         for index in range(core.commit + 1, core.log.last_index + 1):
             self._in_flight.add(core.log.get(index).proposal_id)
@@ -83,9 +87,9 @@
         self.append(entries.NoOp(), "", now)
 
     def append(self, body, proposal_id, now):
-        """Append a new entry and send it out.
+        """Append an entry and replicate it.
 
-        A proposal that is under way or took effect is not appended again.
+        A proposal that is in progress or was already applied is ignored.
         """
         core = self._core
         if proposal_id:
@@ -98,51 +102,54 @@
         index = core.log.last_index + 1
         entry = entries.LogEntry(index, core.term, proposal_id, body, size)
         core.append(entry)
-        core.when_synced(self.advance)
+        core.when_synced(self.advance_commit)
         self.broadcast(now)
 
-    def settled(self, entry):
-        """Take note that an entry was applied."""
+    def entry_applied(self, entry):
+        """Record that ``entry`` was applied."""
         self._in_flight.discard(entry.proposal_id)
 
     # -- sending ----------------------------------------------------------
 
-    def _targets(self):
+    def _replication_targets(self):
         targets = self._core.other_voters()
         if self.joining and self.joining not in targets:
             targets = [*targets, self.joining]
         return targets
 
-    def _peer(self, voter):
-        held = self._peers.get(voter)
-        if held is None:
-            held = Peer(self._core.log.last_index + 1)
-            self._peers[voter] = held
-        return held
+    def _progress_of(self, voter):
+        peer = self._progress_by_voter.get(voter)
+        if peer is None:
+            peer = FollowerProgress(self._core.log.last_index + 1)
+            self._progress_by_voter[voter] = peer
+        return peer
 
     def broadcast(self, now):
-        """Send every follower what it lacks, or a heartbeat."""
-        self._now = now
-        self._next_heartbeat = now + election.HEARTBEAT
+        """Send every follower the entries it lacks, or a heartbeat."""
+        self._last_event_at = now
+        self._next_heartbeat = now + election.HEARTBEAT_INTERVAL_SECONDS
         self._round += 1
-        self._rounds[self._round] = now
-        if len(self._rounds) > 64:
-            del self._rounds[min(self._rounds)]
-        for voter in self._targets():
-            self._send(voter, now)
+        self._round_sent_at[self._round] = now
+        if len(self._round_sent_at) > 64:
+            del self._round_sent_at[min(self._round_sent_at)]
+        for voter in self._replication_targets():
+            self._send_append(voter, now)
         if not self._core.other_voters():
-            self._confirm(now)
+            self._confirm_leadership(now)
 
-    def _send(self, voter, now):
+    def _send_append(self, voter, now):
         core = self._core
-        peer = self._peer(voter)
-        # Below the base the follower learns of the commit here and fetches
-        # a checkpoint from whoever is nearest.
-        previous = max(peer.next - 1, core.log.base)
-        sent = core.log.after(previous, BATCH, BATCH_BYTES)
+        peer = self._progress_of(voter)
+        # Entries up to the base are no longer in the log.  A follower that
+        # lacks them learns the commit index from this request and fetches a
+        # checkpoint from the nearest instance.
+        previous = max(peer.next_index - 1, core.log.base)
+        sent = core.log.entries_after(
+            previous, MAX_BATCH_ENTRIES, MAX_BATCH_BYTES
+        )
         if sent:
-            peer.sent = now
-            peer.flying += sum(entry.size for entry in sent)
+            peer.sent_at = now
+            peer.in_flight_bytes += sum(entry.size for entry in sent)
         request = messages.AppendRequest(
             core.log_id,
             core.term,
@@ -151,64 +158,69 @@
             sent,
             core.commit,
             self._round,
-            self._freshness.heard.ago(now),
+            self._freshness.heard.age(now),
         )
-        peer.next = previous + len(sent) + 1
+        peer.next_index = previous + len(sent) + 1
         core.send(voter.name, request)
 
     def tick(self, now):
-        """Send heartbeats, repair losses, step down without a quorum."""
+        """Send heartbeats, resend lost entries, step down without a quorum."""
         core = self._core
         if core.role is not Role.LEADER:
             return
         if not self._hears_quorum(now):
             core.leader = ""
-            core.rest()
+            core.reset_role()
             return
         if now >= self._next_heartbeat:
-            for peer in self._peers.values():
-                if not peer.moved and _is_lost(peer, now):
-                    peer.flying = 0
-                    peer.next = peer.match + 1
-                peer.moved = False
+            for peer in self._progress_by_voter.values():
+                if not peer.replied and _presumed_lost(peer, now):
+                    peer.in_flight_bytes = 0
+                    peer.next_index = peer.match_index + 1
+                peer.replied = False
             self.broadcast(now)
-        core.leader_heard = now
+        core.leader_heard_at = now
 
     def _hears_quorum(self, now):
-        if now - self._since < QUORUM_SILENT_AFTER:
+        if now - self._leader_since < QUORUM_TIMEOUT_SECONDS:
             return True
         return self.hears_majority_of(self._core.log.voters, now)
 
     def hears_majority_of(self, voters, now):
-        """Tell whether a majority of ``voters`` was heard of lately."""
-        since = now - QUORUM_SILENT_AFTER
-        return self._reached(lambda peer: peer.heard > since, voters)
+        """Return whether a majority of ``voters`` has replied recently."""
+        since = now - QUORUM_TIMEOUT_SECONDS
+        return self._majority_satisfies(
+            lambda peer: peer.heard_at > since, voters
+        )
 
     def silent_for(self, voter, now):
-        """Return for how many seconds a voter has answered nothing.
+        """Return for how many seconds a voter has not replied.
 
-        It counts from when this one began to lead: what came before that
-        was answered to somebody else.
+        The time counts from the start of this leadership at the earliest;
+        earlier replies went to another leader.
         """
-        peer = self._peers.get(voter)
-        heard = peer.heard if peer else float("-inf")
-        return now - max(heard, self._since)
+        peer = self._progress_by_voter.get(voter)
+        heard = peer.heard_at if peer else float("-inf")
+        return now - max(heard, self._leader_since)
+
+    def _majority_satisfies(self, predicate, voters=None):
+        """Return whether ``predicate`` holds for a majority of voters.
 
-    def _reached(self, holds, voters=None):
-        """Tell whether ``holds`` is true for a majority with this one."""
+        This replica counts as one for which it holds.
+        """
         core = self._core
         voters = core.log.voters if voters is None else voters
         count = 0
         for voter in voters:
-            peer = self._peers.get(voter)
-            if voter == core.me or (peer and holds(peer)):
+            peer = self._progress_by_voter.get(voter)
+            if voter == core.own_voter or (peer and predicate(peer)):
                 count += 1
         return count >= entries.majority(voters)
 
     # -- replies ----------------------------------------------------------
 
-    def reply(self, source, message, now):
-        """Take in what a follower acknowledged."""
+    def handle_append_reply(self, source, message, now):
+        """Process a follower's reply to an append request."""
         core = self._core
         if message.term > core.term:
             core.step_down(message.term)
@@ -216,79 +228,84 @@
         if core.role is not Role.LEADER or message.term < core.term:
             return
         voter = entries.Voter(source.instance, message.folder)
-        if voter not in self._targets():
+        if voter not in self._replication_targets():
             return
-        peer = self._peer(voter)
-        peer.heard = now
-        peer.round = max(peer.round, message.round)
-        peer.moved = True
+        peer = self._progress_of(voter)
+        peer.heard_at = now
+        peer.acked_round = max(peer.acked_round, message.round)
+        peer.replied = True
         if message.agreed:
-            peer.match = max(peer.match, message.match)
-            peer.next = max(peer.next, peer.match + 1)
-            peer.flying = core.log.size_of(peer.match, peer.next - 1)
-        elif _is_lost(peer, now):
-            # Else a heartbeat overtook what it builds on.
-            peer.flying = 0
-            peer.next = min(peer.next, message.match + 1)
-            peer.next = max(peer.next, peer.match + 1)
-        self._confirm(now)
-        self.advance(now)
-        if core.role is Role.LEADER and peer.next <= core.log.last_index:
-            if message.agreed or peer.next > core.log.base:
-                self._send(voter, now)
-        self._admit(now)
-
-    def _confirm(self, now):
-        """Note when a majority last confirmed that this one leads."""
+            peer.match_index = max(peer.match_index, message.match)
+            peer.next_index = max(peer.next_index, peer.match_index + 1)
+            peer.in_flight_bytes = core.log.bytes_between(
+                peer.match_index, peer.next_index - 1
+            )
+        elif _presumed_lost(peer, now):
+            # Otherwise the heartbeat merely overtook entries that are still
+            # on their way.
+            peer.in_flight_bytes = 0
+            peer.next_index = min(peer.next_index, message.match + 1)
+            peer.next_index = max(peer.next_index, peer.match_index + 1)
+        self._confirm_leadership(now)
+        self.advance_commit(now)
+        if core.role is Role.LEADER and peer.next_index <= core.log.last_index:
+            if message.agreed or peer.next_index > core.log.base:
+                self._send_append(voter, now)
+        self._promote_joining(now)
+
+    def _confirm_leadership(self, now):
+        """Record when a majority last confirmed this leadership."""
         core = self._core
         if core.log.term_at(core.commit) != core.term:
             return
-        # Once the first entry of the term is committed, the commit here is
-        # at or past that of every earlier leader.
-        for number in sorted(self._rounds, reverse=True):
-            sent = self._rounds[number]
-            if self._reached(lambda peer: peer.round >= number):
+        # Once the first entry of the term is committed, the commit index
+        # here is at least that of every earlier leader.
+        for round_number in sorted(self._round_sent_at, reverse=True):
+            sent = self._round_sent_at[round_number]
+            if self._majority_satisfies(
+                lambda peer: peer.acked_round >= round_number
+            ):
                 self._freshness.confirm(sent, core.commit)
                 return
 
-    def advance(self, now=None):
-        """Commit what a majority has on its disks."""
+    def advance_commit(self, now=None):
+        """Commit the entries that a majority has on disk."""
         core = self._core
         if core.role is not Role.LEADER:
             return
-        synced = []
+        durable_indexes = []
         for voter in core.log.voters:
-            if voter == core.me:
-                synced.append(core.durable)
+            if voter == core.own_voter:
+                durable_indexes.append(core.durable_index)
             else:
-                peer = self._peers.get(voter)
-                synced.append(peer.match if peer else 0)
-        synced.sort(reverse=True)
-        reached = synced[entries.majority(core.log.voters) - 1]
-        if reached <= core.commit:
+                peer = self._progress_by_voter.get(voter)
+                durable_indexes.append(peer.match_index if peer else 0)
+        durable_indexes.sort(reverse=True)
+        quorum_index = durable_indexes[entries.majority(core.log.voters) - 1]
+        if quorum_index <= core.commit:
             return
-        if core.log.term_at(reached) != core.term:
+        if core.log.term_at(quorum_index) != core.term:
             return
-        core.advance(reached)
-        # The followers are told at once, so that a change is in force
-        # everywhere without waiting for the next heartbeat.  The time may
-        # be that of the event before, which only makes what a majority
-        # confirms to this round look older than it is.
-        self.broadcast(self._now if now is None else now)
-        if core.me not in core.log.voters and (
+        core.advance_commit(quorum_index)
+        # Followers learn the commit index immediately, so that a change takes
+        # effect everywhere without waiting for the next heartbeat.  The time
+        # may be that of the previous event, which only makes the majority's
+        # confirmation of this round look older than it is.
+        self.broadcast(self._last_event_at if now is None else now)
+        if core.own_voter not in core.log.voters and (
             core.log.voters_index <= core.commit
         ):
             core.leader = ""
-            core.rest()
+            core.reset_role()
 
     # -- voters -----------------------------------------------------------
 
     def can_change_voters(self):
-        """Tell whether a change of voters may be appended now.
+        """Return whether a configuration change may be appended now.
 
-        One at a time, and none before an entry of the own term is
-        committed: two changes at once could have majorities that do not
-        overlap.
+        Only one change may be uncommitted at a time, and an entry of the
+        current term must be committed first: two concurrent changes could
+        have majorities that do not overlap.
         """
         core = self._core
         return (
@@ -298,33 +315,36 @@
         )
 
     def change_voters(self, voters, now):
-        """Append a change of voters, by one at the most."""
+        """Append a configuration change that adds or removes one voter."""
         core = self._core
         changed = set(voters) ^ set(core.log.voters)
         invariants.check(
             self.can_change_voters() and len(changed) == 1,
             "one-voter-at-a-time",
-            f"{core.log.voters} to {voters}",
+            f"change of voters from {core.log.voters} to {voters}",
         )
         self.append(entries.VoterChange(sorted(voters)), "", now)
 
-    def _admit(self, now):
-        """Make the joining keeper a voter once it has caught up."""
+    def _promote_joining(self, now):
+        """Make the joining keeper a voter if it has caught up."""
         core = self._core
         if self.joining is None or not self.can_change_voters():
             return
         if self.joining in core.log.voters:
             self.joining = None
             return
-        peer = self._peer(self.joining)
-        if peer.match and peer.match + CAUGHT_UP_WITHIN >= core.log.last_index:
+        peer = self._progress_of(self.joining)
+        if (
+            peer.match_index
+            and peer.match_index + MAX_JOIN_LAG_ENTRIES >= core.log.last_index
+        ):
             voters = [*core.log.voters, self.joining]
             self.joining = None
             self.change_voters(voters, now)
 
 
-def _is_lost(peer, now):
-    """Tell whether what a follower did not acknowledge must be lost."""
-    if peer.flying <= SMALL_BYTES:
+def _presumed_lost(peer, now):
+    """Return whether a follower's unacknowledged entries count as lost."""
+    if peer.in_flight_bytes <= SMALL_IN_FLIGHT_BYTES:
         return True
-    return now - peer.sent > peer.flying / SLOW_LINK_BYTES
+    return now - peer.sent_at > peer.in_flight_bytes / SLOW_LINK_BYTES
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_machine.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_machine.py
@@ -1,8 +1,8 @@
-"""What the log's entries act on: appliers, results and checkpoints.
+"""The replicated state machine: appliers, results and checkpoints.
 
-Each kind of entry has one :class:`Applier`.  The machine hands it the
-entries in log order, keeps recent results so that a repeated proposal
-takes effect once, and puts all of it into checkpoints.
+Each entry type has one :class:`Applier`.  The state machine passes it the
+entries in log order, keeps recent results so that a repeated proposal takes
+effect once, and saves the state and the results in checkpoints.
 """
 
 import abc
@@ -13,26 +13,26 @@
 from .. import invariants
 from . import quorum_log_entries as entries
 
-# Results kept for each kind of entry.  A resend comes within minutes of a
-# lost answer; at 2,100 changes a day this many reach back almost two days.
-KEPT_RESULTS = 4096
+# Results kept per entry type.  A proposal is resent within minutes of a lost
+# answer; at 2,100 changes a day, this many reach back almost two days.
+MAX_KEPT_RESULTS = 4096
 
 
 class Applier(abc.ABC):
-    """Applies one kind of entry, the same way on every instance.
+    """Applies the entries of one type, deterministically on every instance.
 
-    ``result_type`` is the type of what :meth:`apply` returns, so that kept
-    results can be read back from a checkpoint.
+    ``result_type`` is the return type of :meth:`apply`; it is used to decode
+    the kept results in a checkpoint.
     """
 
     result_type = None
 
     @abc.abstractmethod
     def apply(self, version, entry):
-        """Apply ``entry``, which stands at ``version``; return the result.
+        """Apply ``entry``, whose log index is ``version``, return the result.
 
-        It reads no clock and draws no random number, and raises nothing
-        that the entry's content can cause.
+        It must not read a clock or draw random numbers, and no content of an
+        entry may make it raise an exception.
         """
 
     @abc.abstractmethod
@@ -41,11 +41,11 @@
 
     @abc.abstractmethod
     def load(self, state):
-        """Take over the state that :meth:`dump` returned."""
+        """Replace the state by one that :meth:`dump` returned."""
 
 
 class KeptResult(msgspec.Struct, array_like=True):
-    """The result of one proposal, as checkpoints carry it."""
+    """The result of one proposal, as stored in a checkpoint."""
 
     proposal_id: str
     version: int
@@ -53,14 +53,14 @@
 
 
 class Part(msgspec.Struct):
-    """The state of one applier and its recent results."""
+    """The state of one applier and its kept results."""
 
     state: msgspec.Raw
     results: list[KeptResult]
 
 
 class Checkpoint(msgspec.Struct):
-    """Everything that the log's first ``index`` entries amount to."""
+    """The state after the entries up to ``index`` (a Raft snapshot)."""
 
     log_id: str
     founders: list[entries.Voter]
@@ -71,14 +71,14 @@
 
 
 class Outcome(msgspec.Struct):
-    """The result of a proposal and the position it took effect at."""
+    """The result of a proposal and the log index at which it took effect."""
 
     version: int
     result: object
 
 
-class Machine:
-    """All appliers, by the type of their entries."""
+class StateMachine:
+    """Dispatches entries to the appliers and keeps their results."""
 
     __slots__ = ("applied", "_appliers", "_results")
 
@@ -88,21 +88,21 @@
         self._results = {}
 
     def register(self, kind, applier):
-        """Have ``applier`` apply every entry of type ``kind``."""
+        """Register ``applier`` for the entries of type ``kind``."""
         self._appliers[kind] = applier
         self._results[kind] = collections.OrderedDict()
 
     def outcome_of(self, kind, proposal_id):
         """Return the kept outcome of a proposal, or ``None``."""
-        held = self._results.get(kind)
-        return held.get(proposal_id) if held else None
+        outcomes = self._results.get(kind)
+        return outcomes.get(proposal_id) if outcomes else None
 
     def apply(self, entry):
         """Apply the next entry and return its :class:`Outcome`.
 
-        A proposal that took effect before is not applied again: its first
-        outcome is returned.  That is what makes a resend after a lost
-        answer safe, whichever leader it reaches.
+        A proposal that already took effect is not applied again; its first
+        outcome is returned.  This makes it safe to resend a proposal after a
+        lost answer, whichever leader it reaches.
         """
         invariants.check(
             entry.index == self.applied + 1,
@@ -115,19 +115,19 @@
         if applier is None:
             return Outcome(entry.index, None)
         kept = self._results[kind]
-        earlier = kept.get(entry.proposal_id)
-        if earlier is not None:
-            return earlier
+        previous = kept.get(entry.proposal_id)
+        if previous is not None:
+            return previous
         result = applier.apply(entry.index, entry.body)
         outcome = Outcome(entry.index, result)
         if entry.proposal_id:
             kept[entry.proposal_id] = outcome
-        if len(kept) > KEPT_RESULTS:
+        if len(kept) > MAX_KEPT_RESULTS:
             kept.popitem(last=False)
         return outcome
 
     def parts(self):
-        """Return the state of every applier, for a checkpoint."""
+        """Return the state and kept results of each type."""
         return {
             kind.__struct_config__.tag: Part(
                 msgspec.Raw(applier.dump()),
@@ -144,7 +144,7 @@
         }
 
     def load(self, checkpoint):
-        """Take over the state in ``checkpoint``, which must be newer."""
+        """Install the state in ``checkpoint``, which must not be older."""
         invariants.check(
             checkpoint.index >= self.applied,
             "applied-version-never-falls",
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_messages.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_messages.py
@@ -1,7 +1,7 @@
 """Messages of the quorum log.
 
-``log_id`` names the log, so that instances of two systems which reach one
-another by mistake do not mix their logs.  ``folder`` names the sender's
+``log_id`` identifies the log, so that the logs of two systems whose instances
+reach each other by mistake are not mixed.  ``folder`` identifies the sender's
 data folder and is empty on instances without a disk.
 """
 
@@ -11,7 +11,7 @@
 
 
 class VoteRequest(msgspec.Struct, tag="vote_request"):
-    """Asks for a vote; with ``pre`` only whether it would be given."""
+    """Requests a vote or, with ``pre``, a pre-vote that is not recorded."""
 
     log_id: str
     folder: str
@@ -22,7 +22,11 @@
 
 
 class VoteReply(msgspec.Struct, tag="vote_reply"):
-    """Answers a vote request of the same ``term`` and ``pre``."""
+    """Answers a vote request with the same ``pre``.
+
+    ``term`` is that of the request if the vote is granted, else the sender's
+    current term.
+    """
 
     log_id: str
     folder: str
@@ -32,10 +36,11 @@
 
 
 class AppendRequest(msgspec.Struct, tag="append_request"):
-    """Entries from the leader; without any it is a heartbeat.
+    """Entries from the leader; without any, it is a heartbeat.
 
-    ``confirmed_ago`` is how many seconds ago the leader last heard from a
-    majority, negative where it never did.
+    ``confirmed_ago`` is the time in seconds since a majority last confirmed
+    the leadership, negative if none has yet.  ``round`` numbers the leader's
+    broadcasts and is returned in the reply.
     """
 
     log_id: str
@@ -49,9 +54,10 @@
 
 
 class AppendReply(msgspec.Struct, tag="append_reply"):
-    """What the sender holds, synced, up to ``match``.
+    """Acknowledges the entries up to ``match``, which are on disk.
 
-    Without ``agreed``, ``match`` is where the leader should try next.
+    Without ``agreed``, the logs do not match at the previous index and
+    ``match`` is the index from which the leader should retry.
     """
 
     log_id: str
@@ -63,13 +69,14 @@
 
 
 class Progress(msgspec.Struct, tag="progress"):
-    """How far the sender is.
-
-    ``confirmed_ago`` is how many seconds ago it had all that was committed,
-    as far as it heard, and ``proven_ago`` as far as is certain; both are
-    negative for never.  ``leader`` is empty where the sender does not hear
-    one itself.  With ``asks`` it wants an answer, which has the same
-    ``ask``.
+    """The sender's progress in the log.
+
+    ``confirmed_ago`` is the time in seconds since the sender last had all
+    committed entries, as far as it has heard; ``proven_ago`` is the guaranteed
+    bound (see :mod:`.quorum_log_freshness`).  Both are negative if unknown.
+    ``leader`` is empty unless the sender hears the leader itself.  With
+    ``asks`` the sender requests the receiver's progress in return, and the
+    reply carries the same ``ask``.
     """
 
     log_id: str
@@ -82,21 +89,21 @@
 
 
 class Fetch(msgspec.Struct, tag="fetch"):
-    """Asks for the committed entries after ``after``."""
+    """Requests the committed entries after index ``after``."""
 
     log_id: str
     after: int
 
 
 class Committed(msgspec.Struct, tag="committed"):
-    """Committed entries, without gaps."""
+    """Consecutive committed entries."""
 
     log_id: str
     entries: list[entries.LogEntry]
 
 
 class CheckpointSent(msgspec.Struct, tag="checkpoint"):
-    """The state at some version, for whoever is too far behind."""
+    """A checkpoint for an instance that is too far behind."""
 
     log_id: str
     checkpoint: msgspec.Raw
@@ -111,9 +118,10 @@
 
 
 class KeeperHello(msgspec.Struct, tag="keeper_hello"):
-    """An instance with a disk shows its folder and the log it is part of.
+    """Announces the sender's data folder and the log it belongs to.
 
-    ``log_id`` is empty while it is part of none.
+    Only instances with a disk send it.  ``log_id`` is empty until the sender
+    belongs to a log.
     """
 
     folder: str
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_options.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_options.py
@@ -1,17 +1,18 @@
-"""What an embedder may choose about its quorum log."""
+"""Options of the replicated log for embedders."""
 
 import msgspec
 
 
 class LogOptions(msgspec.Struct, frozen=True):
-    """Choices beyond the names of the first keepers.
+    """Options besides the names of the first keepers.
 
-    ``may_found`` is false for every start but the first of the whole system:
-    an instance that lost its disk must join the log of the others and never
-    found a second one.  With ``wanted_voters`` above zero the leader keeps
-    that many voters by itself, replacing lost ones; see
-    :mod:`.quorum_log_repair`.  With ``proves_often`` an instance keeps on
-    proving how recent its state is; see :mod:`.quorum_log_proving`.
+    ``may_found`` allows founding a new log.  It must be false at every start
+    but the first of the whole system: an instance that lost its disk must
+    join the existing log and never found a second one.  If ``wanted_voters``
+    is above zero, the leader maintains that many voters and replaces lost
+    ones; see :mod:`.quorum_log_repair`.  With ``proves_often`` an instance
+    polls the keepers continuously for a guaranteed bound on the age of its
+    state; see :mod:`.quorum_log_proving`.
     """
 
     may_found: bool = True
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_proposals.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_proposals.py
@@ -1,8 +1,9 @@
-"""Proposals that this instance has under way.
+"""Proposals of this instance that are not settled yet.
 
-They go to the leader and are repeated until they take effect here.  A
-learner first asks the keepers who leads: only a proposal that was never
-sent can truthfully be called not run.
+They are sent to the leader and resent until they are applied on this
+instance.  A learner first asks the keepers who the leader is, instead of
+sending the proposal to all: only a proposal that was never sent can be
+reported as not run.
 """
 
 import enum
@@ -14,17 +15,19 @@
 from . import quorum_log_machine as machine_module
 from . import quorum_log_messages as messages
 
-# Longer than an election, so that a failover does not show.
+# How long a proposal waits for a leader before it is reported as not run.  It
+# is longer than an election, so that a failover causes no error.  Once sent,
+# a proposal is reported as unknown after SENT_SECONDS.
 UNSENT_SECONDS = 4.0
 SENT_SECONDS = 8.0
-ASK_INTERVAL = 0.3
-RESEND_INTERVAL = 1.0
-# Who leads is asked anew when it was last heard this long ago.
-LEADER_KNOWN_FOR = 2.0
+LEADER_QUERY_INTERVAL_SECONDS = 0.3
+RESEND_INTERVAL_SECONDS = 1.0
+# A leader that was last reported longer ago than this is queried again.
+LEADER_HINT_TTL_SECONDS = 2.0
 
 
 class SettledKind(enum.Enum):
-    """How a proposal ended, as far as this instance knows."""
+    """The final status of a proposal, as far as this instance knows."""
 
     APPLIED = "applied"
     NOT_RUN = "not_run"
@@ -32,11 +35,10 @@
 
 
 class Settled(msgspec.Struct):
-    """The end of a proposal.
+    """The final status of a proposal.
 
-    ``version`` and ``result`` are set where it was applied.  After
-    ``UNKNOWN`` it may yet take effect; propose it again under the same
-    id to learn.
+    ``version`` and ``result`` are set if it was applied.  After ``UNKNOWN`` it
+    may still take effect; propose it again with the same id to find out.
     """
 
     kind: SettledKind
@@ -44,14 +46,14 @@
     result: typing.Any = None
 
 
-class Pending(msgspec.Struct):
-    """A proposal under way and all who wait for it."""
+class PendingProposal(msgspec.Struct):
+    """An unsettled proposal and the callbacks that wait for it."""
 
     body: typing.Any
-    since: float
-    calls: list
+    started_at: float
+    callbacks: list
     sent: bool = False
-    next_try: float = float("-inf")
+    next_send_at: float = float("-inf")
 
 
 class Proposals:
@@ -62,103 +64,113 @@
         self._leadership = leadership
         self._bootstrap = bootstrap
         self._pending = {}
-        self._hint = ""
-        self._hint_heard = float("-inf")
-        self._next_ask = float("-inf")
+        self._leader_hint = ""
+        self._leader_hint_at = float("-inf")
+        self._next_leader_query_at = float("-inf")
 
-    def hear_leader(self, name, now):
-        """Take note that ``name`` is said to lead."""
+    def record_leader(self, name, now):
+        """Record ``name``, if not empty, as the reported leader."""
         if name:
-            self._hint = name
-            self._hint_heard = now
+            self._leader_hint = name
+            self._leader_hint_at = now
 
     def leader(self, now):
-        """Return who leads as far as known lately, or ''."""
+        """Return the name of the leader, or '' if not known recently."""
         core = self._core
         if core.leader and core.is_voter():
             return core.leader
-        if now - self._hint_heard < LEADER_KNOWN_FOR:
-            return self._hint
+        if now - self._leader_hint_at < LEADER_HINT_TTL_SECONDS:
+            return self._leader_hint
         return ""
 
-    def add(self, body, proposal_id, now, call):
-        """Start a proposal, or wait for the one of the same id."""
-        held = self._pending.get(proposal_id)
-        if held is None:
-            held = Pending(body, now, [])
-            self._pending[proposal_id] = held
-        held.calls.append(call)
-        self._try(proposal_id, held, now)
+    def add(self, body, proposal_id, now, callback):
+        """Add a proposal, or wait for a pending one with the same id."""
+        pending = self._pending.get(proposal_id)
+        if pending is None:
+            pending = PendingProposal(body, now, [])
+            self._pending[proposal_id] = pending
+        pending.callbacks.append(callback)
+        self._send_if_due(proposal_id, pending, now)
 
     def take_applied(self, kind, proposal_id):
-        """Return ``(calls, settled)`` where a proposal took effect."""
-        held = self._pending.get(proposal_id) if proposal_id else None
-        if held is None or type(held.body) is not kind:
+        """Remove a proposal that was applied.
+
+        Returns ``(callbacks, settled)``, or ``None`` if it is not pending or
+        not applied.
+        """
+        pending = self._pending.get(proposal_id) if proposal_id else None
+        if pending is None or type(pending.body) is not kind:
             return None
         outcome = self._core.machine.outcome_of(kind, proposal_id)
         if outcome is None:
             return None
         del self._pending[proposal_id]
-        return held.calls, _applied(outcome)
+        return pending.callbacks, _applied_result(outcome)
+
+    def take_all_applied(self):
+        """Remove all applied proposals, as by :meth:`take_applied`.
 
-    def take_known(self):
-        """Return what a checkpoint settled, as by :meth:`take_applied`."""
+        An installed checkpoint can settle several at once.
+        """
         found = [
-            self.take_applied(type(held.body), proposal_id)
-            for proposal_id, held in list(self._pending.items())
+            self.take_applied(type(pending.body), proposal_id)
+            for proposal_id, pending in list(self._pending.items())
         ]
         return [item for item in found if item]
 
     def take_expired(self, now):
-        """Return ``(calls, settled)`` of proposals that took too long."""
+        """Remove timed-out proposals.
+
+        Returns a list of ``(callbacks, settled)`` pairs.
+        """
         found = []
-        for proposal_id, held in list(self._pending.items()):
-            limit = SENT_SECONDS if held.sent else UNSENT_SECONDS
-            if now - held.since < limit:
+        for proposal_id, pending in list(self._pending.items()):
+            limit = SENT_SECONDS if pending.sent else UNSENT_SECONDS
+            if now - pending.started_at < limit:
                 continue
-            kind = SettledKind.UNKNOWN if held.sent else SettledKind.NOT_RUN
+            kind = SettledKind.UNKNOWN if pending.sent else SettledKind.NOT_RUN
             del self._pending[proposal_id]
-            found.append((held.calls, Settled(kind)))
+            found.append((pending.callbacks, Settled(kind)))
         return found
 
     def tick(self, now):
-        """Repeat what has no answer yet."""
-        for proposal_id, held in self._pending.items():
-            self._try(proposal_id, held, now)
+        """Send or resend the pending proposals that are due."""
+        for proposal_id, pending in self._pending.items():
+            self._send_if_due(proposal_id, pending, now)
 
-    def _try(self, proposal_id, held, now):
+    def _send_if_due(self, proposal_id, pending, now):
         core = self._core
         if core.role is core_module.Role.LEADER:
-            held.sent = True
-            self._leadership.append(held.body, proposal_id, now)
+            pending.sent = True
+            self._leadership.append(pending.body, proposal_id, now)
             return
         leader = self.leader(now)
         if not leader:
-            self._ask(now)
-        elif now >= held.next_try and leader != core.name:
-            held.sent = True
-            held.next_try = now + RESEND_INTERVAL
+            self._query_leader(now)
+        elif now >= pending.next_send_at and leader != core.name:
+            pending.sent = True
+            pending.next_send_at = now + RESEND_INTERVAL_SECONDS
             core.send(
                 leader,
-                messages.Propose(core.log_id, proposal_id, held.body),
+                messages.Propose(core.log_id, proposal_id, pending.body),
             )
 
-    def _ask(self, now):
-        """Ask the keepers who leads."""
+    def _query_leader(self, now):
+        """Ask the keepers who the leader is."""
         core = self._core
-        if now < self._next_ask:
+        if now < self._next_leader_query_at:
             return
-        self._next_ask = now + ASK_INTERVAL
+        self._next_leader_query_at = now + LEADER_QUERY_INTERVAL_SECONDS
         names = [item.name for item in core.log.voters] or self._bootstrap
-        question = messages.Progress(core.log_id, core.commit, -1.0, asks=True)
+        query = messages.Progress(core.log_id, core.commit, -1.0, asks=True)
         for name in names:
             if name != core.name:
-                core.send(name, question)
+                core.send(name, query)
 
-    def wants_leader(self):
-        """Tell whether a proposal waits to be sent."""
-        return any(not held.sent for held in self._pending.values())
+    def has_unsent(self):
+        """Return whether a proposal has not been sent yet."""
+        return any(not pending.sent for pending in self._pending.values())
 
 
-def _applied(outcome: machine_module.Outcome):
+def _applied_result(outcome: machine_module.Outcome):
     return Settled(SettledKind.APPLIED, outcome.version, outcome.result)
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_proving.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_proving.py
@@ -1,100 +1,114 @@
-"""How an instance keeps proving that its state is recent.
+"""Polling the keepers for a guaranteed bound on the age of the local state.
 
-An age that came with a message is too young by the time the message took,
-and a message that waited through a partition in a socket may have taken
-seconds.  An instance that must refuse to act on old state (a key that was
-taken away must stop working, also where the instance is cut off) therefore
-asks, again and again, and counts from when it asked.
+An age received in a message is too low by the transit time of the message,
+and a message that sat in a socket buffer during a partition may have taken
+seconds.  Some instances must refuse to act on old state: a revoked key must
+stop working even on a partitioned instance.  Such an instance polls the
+keepers continuously and counts the age from the time of its request.
 
-The leader answers from what a majority confirmed to it, and the other keepers
-ask the leader.  Everyone else asks a keeper of the own failure domain, which
-tells of a moment that is older by its own question, never of a wrong one; with
-two hundred instances the leader would have four hundred questions a second.
-Where that keeper is slow, cut off or gone the leader is asked, and where the
-leader does not answer any other keeper.
+The leader answers with the last confirmation by a majority, and the other
+keepers poll the leader.  All other instances poll a keeper in their own
+failure domain.  Its bound is older by the age of its own request, but still
+correct.  Otherwise, with two hundred instances, the leader would receive four
+hundred requests a second.  If the local keeper is slow, partitioned or down,
+the leader is polled, and if the leader does not answer, any other keeper.
 """
 
 from . import quorum_log_core as core_module
 
-# A proof is to be younger than the shortest bound on it, 1.5 s or so, after
-# one lost question.
-ASK_INTERVAL = 0.5
-# Questions that may still be answered; older ones prove nothing useful.
-MOST_OPEN = 16
-# A near keeper asks twice a second itself, so that its proof is older than
-# this only after a lost question, or where it does not reach the leader.
-NEAR_AGE = 1.0
-# So long is a near keeper not asked that did not answer, or whose proof was
-# old: a cut between failure domains lasts for some seconds.
-NEAR_PAUSE = 3.0
+# Short enough that the age stays below the strictest limit in use, about
+# 1.5 s, even if one request is lost.
+QUERY_INTERVAL_SECONDS = 0.5
+# Unanswered requests that are remembered.  The answer to an older one would
+# give no useful bound.
+MAX_PENDING_QUERIES = 16
+# A local keeper polls twice a second itself, so its bound is above this only
+# after a lost request, or if it does not reach the leader.
+MAX_LOCAL_PROOF_AGE_SECONDS = 1.0
+# The local keeper is not polled for this long if it did not answer or if its
+# bound was too old: a partition between failure domains lasts some seconds.
+LOCAL_KEEPER_BACKOFF_SECONDS = 3.0
 
 
-class Proving:
-    """Asks keepers how far they are, and takes their answers as proof."""
+class FreshnessPolling:
+    """Polls keepers for their progress and records the proven age."""
 
     def __init__(self, core, freshness, neighbours, enabled):
         self._core = core
         self._freshness = freshness
         self._neighbours = neighbours
         self._enabled = enabled
-        self._open = {}
-        self._next_ask = float("-inf")
-        self._answered = True
-        self._near = ""
-        self._next_near = float("-inf")
+        self._query_sent_at = {}
+        self._next_query_at = float("-inf")
+        self._last_answered = True
+        self._local_keeper = ""
+        self._local_retry_at = float("-inf")
 
-    def question(self, leader, now):
-        """Return ``(name, number)`` of the keeper to ask now, or ``None``."""
+    def next_query(self, leader, now):
+        """Return the keeper to poll now as ``(name, query_id)``.
+
+        Returns ``None`` if no poll is due or no keeper is known.
+        """
         core = self._core
-        if not self._enabled or now < self._next_ask:
+        if not self._enabled or now < self._next_query_at:
             return None
         if core.role is core_module.Role.LEADER or not core.log_id:
             return None
-        self._next_ask = now + ASK_INTERVAL
-        name = self._choose(leader, now)
+        self._next_query_at = now + QUERY_INTERVAL_SECONDS
+        name = self._choose_keeper(leader, now)
         if not name:
             return None
-        number = core.rng.getrandbits(48) + 1
-        self._open[number] = now
-        while len(self._open) > MOST_OPEN:
-            del self._open[next(iter(self._open))]
-        self._answered = False
-        return name, number
+        query_id = core.rng.getrandbits(48) + 1
+        self._query_sent_at[query_id] = now
+        while len(self._query_sent_at) > MAX_PENDING_QUERIES:
+            del self._query_sent_at[next(iter(self._query_sent_at))]
+        self._last_answered = False
+        return name, query_id
+
+    def _choose_keeper(self, leader, now):
+        """Choose a local keeper, else the leader, else any keeper.
 
-    def _choose(self, leader, now):
-        """Ask a near keeper, the leader, or any, whoever answers."""
+        One that did not answer the last request is passed over.
+        """
         core = self._core
         names = [
             item.name for item in core.log.voters if item.name != core.name
         ]
-        if self._near and not self._answered:
-            self._leave_near(now)
-            self._answered = True
-        self._near = "" if core.is_voter() else self._near_keeper(names, now)
-        if self._near:
-            return self._near
-        if leader in names and self._answered:
+        if self._local_keeper and not self._last_answered:
+            self._avoid_local_keeper(now)
+            self._last_answered = True
+        self._local_keeper = (
+            "" if core.is_voter() else self._pick_local_keeper(names, now)
+        )
+        if self._local_keeper:
+            return self._local_keeper
+        if leader in names and self._last_answered:
             return leader
         reachable = self._neighbours.alive(now)
-        pool = [name for name in names if name in reachable] or names
-        return self._core.rng.choice(pool) if pool else ""
+        candidates = [name for name in names if name in reachable] or names
+        return self._core.rng.choice(candidates) if candidates else ""
 
-    def _near_keeper(self, names, now):
-        """Return a keeper of the own domain that may be asked, or ''."""
-        if now < self._next_near:
+    def _pick_local_keeper(self, names, now):
+        """Return a keeper of the local failure domain to poll, or ''."""
+        if now < self._local_retry_at:
             return ""
-        near = [name for name in names if self._neighbours.same_domain(name)]
-        return self._core.rng.choice(near) if near else ""
+        local = [name for name in names if self._neighbours.same_domain(name)]
+        return self._core.rng.choice(local) if local else ""
 
-    def _leave_near(self, now):
-        self._next_near = now + NEAR_PAUSE
+    def _avoid_local_keeper(self, now):
+        self._local_retry_at = now + LOCAL_KEEPER_BACKOFF_SECONDS
 
-    def hear(self, message):
-        """Take in an answer to one of the open questions."""
-        asked_at = self._open.pop(message.ask, None)
-        if asked_at is None:
+    def handle_answer(self, message):
+        """Process an answer to one of the pending requests."""
+        sent_at = self._query_sent_at.pop(message.ask, None)
+        if sent_at is None:
             return
-        self._answered = True
-        if self._near and not 0.0 <= message.proven_ago <= NEAR_AGE:
-            self._leave_near(asked_at)
-        self._freshness.prove(message.proven_ago, message.applied, asked_at)
+        self._last_answered = True
+        if (
+            self._local_keeper
+            and not 0.0 <= message.proven_ago <= MAX_LOCAL_PROOF_AGE_SECONDS
+        ):
+            self._avoid_local_keeper(sent_at)
+        self._freshness.record_proven(
+            message.proven_ago, message.applied, sent_at
+        )
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_records.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_records.py
@@ -1,8 +1,8 @@
-"""What a keeper writes to its disk, and how it is read back.
+"""The records that a keeper writes to its disk, and their replay.
 
-The storage keeps one checkpoint and the records after it, in the order of
-writing.  An entry record stands for the log being cut before its position
-and the entry appended, so the newest record for a position wins.
+The storage holds one checkpoint and the records after it, in the order of
+writing.  To replay an entry record, the log is truncated before the index of
+the entry and the entry is appended, so the latest record for an index wins.
 """
 
 import typing
@@ -15,7 +15,7 @@
 
 
 class TermRecord(msgspec.Struct, tag="term"):
-    """The newest term seen and who was voted for in it, or ''."""
+    """The latest term and the candidate voted for in it, or ''."""
 
     term: int
     voted_for: str
@@ -28,10 +28,10 @@
 
 
 class Keeper(msgspec.Struct):
-    """What a keeper starts from: its folder and what was read from it.
+    """The content of a keeper's data folder at its start.
 
-    ``folder`` identifies the data folder; ``checkpoint`` is empty where
-    the folder is new.
+    ``folder`` identifies the data folder; ``checkpoint`` is empty if the
+    folder is new.
     """
 
     folder: str
@@ -39,8 +39,8 @@
     records: list = msgspec.field(default_factory=list)
 
 
-class Restored(msgspec.Struct):
-    """A keeper's state as its disk has it."""
+class RestoredState(msgspec.Struct):
+    """The state of a keeper after the replay of its records."""
 
     checkpoint: machine_module.Checkpoint
     term: int
@@ -49,17 +49,23 @@
 
 
 def encode(record):
-    """Return the bytes of a record or checkpoint."""
+    """Encode a record or a checkpoint."""
     return msgspec.json.encode(record)
 
 
 def decode_checkpoint(data):
-    """Return the checkpoint in ``data``."""
+    """Decode a checkpoint.
+
+    Raises ``msgspec.DecodeError`` if ``data`` is not a valid one.
+    """
     return _CHECKPOINTS.decode(data)
 
 
 def restore(keeper):
-    """Return the state on a keeper's disk, or ``None`` on a new one."""
+    """Return the state on a keeper's disk, or ``None`` if it is new.
+
+    Raises :exc:`StorageError` if a record cannot be decoded.
+    """
     if not keeper.checkpoint:
         return None
     try:
@@ -73,7 +79,7 @@
     log = entries.EntryLog(
         checkpoint.index, checkpoint.term, checkpoint.voters
     )
-    restored = Restored(checkpoint, 0, "", log)
+    restored = RestoredState(checkpoint, 0, "", log)
     for record in records:
         _replay(restored, record)
     return restored
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_repair.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_repair.py
@@ -1,19 +1,18 @@
-"""How the leader keeps as many voters as the deployment asks for.
+"""Automatic replacement of voters by the leader.
 
-Instances with a disk come and go for good: a machine is replaced by an
+Instances with a disk may be lost permanently: an instance is replaced by an
 empty one at another address, or comes back without its disk.  Until the
-voters are as many as wanted again, the next loss may be one too many.  So
-the leader does by itself what an operator would do by hand, one voter at a
-time:
-
-* a voter that shows itself with another data folder has lost its own: it is
-  removed and added again as the new voter that it is;
-* with a spare keeper at hand, a voter that has been silent for a while is
-  replaced: first the spare becomes a voter, then the silent one goes;
-* with fewer voters than wanted, a spare is added.
-
-A voter that is silent while no spare is there stays: removing it would make
-nothing safer.
+number of voters is restored, the next failure may cost the quorum.  So the
+leader performs automatically what an operator would do, one voter at a time:
+
+* a voter that announces another data folder has lost its own: it is removed
+  and added again as a new voter;
+* if a spare keeper is available, a voter that has been silent for a while is
+  replaced: first the spare is added, then the silent voter is removed;
+* if there are fewer voters than the target, a spare is added.
+
+A silent voter stays if there is no spare, since removing it would not make
+the log any safer.
 """
 
 import msgspec
@@ -21,40 +20,43 @@
 from . import quorum_log_core as core_module
 from . import quorum_log_entries as entries
 
-# One look at the voters in so many seconds.
-INTERVAL = 0.25
-# Longer than an election with its restart, shorter than the time after
-# which a replacement is expected to count (a few seconds).
-SILENT_AFTER = 2.0
-# A joining keeper that answers nothing for so long is given up: it may be a
-# folder that is gone.
-JOIN_PATIENCE = 2.0
+# How often the voters are checked.
+CHECK_INTERVAL_SECONDS = 0.25
+# Longer than a restart and an election, shorter than the few seconds within
+# which a replacement is expected to vote.
+SILENT_AFTER_SECONDS = 2.0
+# A keeper that has not joined after this long is given up: its data folder
+# may no longer exist.
+JOIN_TIMEOUT_SECONDS = 2.0
 
 
 class Joining(msgspec.Struct):
-    """A keeper on its way to become a voter."""
+    """A keeper that is being added as a voter."""
 
     voter: entries.Voter
-    since: float
+    started_at: float
 
 
 class VoterRepair:
-    """Decides on the leader which change of voters is due."""
+    """Chooses the next configuration change on the leader."""
 
-    def __init__(self, core, leadership, founding, neighbours, wanted):
+    def __init__(self, core, leadership, founding, neighbours, target_voters):
         self._core = core
         self._leadership = leadership
         self._founding = founding
         self._neighbours = neighbours
-        self._wanted = wanted
-        self._next = float("-inf")
+        self._target_voters = target_voters
+        self._next_check_at = float("-inf")
         self._joining = None
 
     def tick(self, now):
-        """Start the next change where one is due; return what to log."""
-        if not self._wanted or now < self._next:
+        """Start the next configuration change if one is due.
+
+        Returns the fields to log, or ``None`` if nothing was changed.
+        """
+        if not self._target_voters or now < self._next_check_at:
             return None
-        self._next = now + INTERVAL
+        self._next_check_at = now + CHECK_INTERVAL_SECONDS
         if self._core.role is not core_module.Role.LEADER:
             self._joining = None
             return None
@@ -62,54 +64,56 @@
             return None
         if self._still_joining(now):
             return None
-        return self._repair(now)
+        return self._next_change(now)
 
     def _still_joining(self, now):
-        held = self._joining
-        if held is None or self._leadership.joining != held.voter:
+        joining = self._joining
+        if joining is None or self._leadership.joining != joining.voter:
             self._joining = None
             return False
-        if now - held.since < JOIN_PATIENCE:
+        if now - joining.started_at < JOIN_TIMEOUT_SECONDS:
             return True
         self._leadership.joining = None
-        self._founding.folders.pop(held.voter.name, None)
+        self._founding.folders.pop(joining.voter.name, None)
         self._joining = None
         return False
 
-    def _repair(self, now):
+    def _next_change(self, now):
         voters = self._core.log.voters
         for voter in voters:
-            if self._lost_its_folder(voter, now):
+            if self._has_new_folder(voter, now):
                 return self._remove(voter, "lost its data folder", now)
         silent = [
             voter
             for voter in voters
-            if voter != self._core.me
-            and self._leadership.silent_for(voter, now) > SILENT_AFTER
+            if voter != self._core.own_voter
+            and self._leadership.silent_for(voter, now) > SILENT_AFTER_SECONDS
         ]
-        if len(voters) > self._wanted:
-            # One that was replaced and came back makes the voters too many:
-            # a majority of four is lost with two, as that of three, and four
-            # can be cut in halves of which neither is a majority.
-            others = [voter for voter in voters if voter != self._core.me]
+        if len(voters) > self._target_voters:
+            # A replaced voter that comes back makes one voter too many.  Four
+            # voters tolerate no more failures than three, and a partition
+            # can split them into halves without a majority.
+            others = [
+                voter for voter in voters if voter != self._core.own_voter
+            ]
             surplus = (silent or others)[-1]
             return self._remove(surplus, "surplus", now)
         spares = self._spares(now)
-        if spares and (silent or len(voters) < self._wanted):
+        if spares and (silent or len(voters) < self._target_voters):
             return self._add(spares[0], now)
         return None
 
-    def _lost_its_folder(self, voter, now):
-        shown = self._founding.folders.get(voter.name)
-        if voter == self._core.me or shown in (None, voter.folder):
+    def _has_new_folder(self, voter, now):
+        folder = self._founding.folders.get(voter.name)
+        if voter == self._core.own_voter or folder in (None, voter.folder):
             return False
         if voter.name not in self._neighbours.alive(now):
             return False
-        # A keeper that still answers as this voter has not lost it.
-        return self._leadership.silent_for(voter, now) > INTERVAL
+        # A keeper that still replies as this voter has not lost its folder.
+        return self._leadership.silent_for(voter, now) > CHECK_INTERVAL_SECONDS
 
     def _spares(self, now):
-        """Return the keepers that could become voters, by name."""
+        """Return the available keepers that do not vote, sorted by name."""
         names = self._core.voter_names()
         alive = self._neighbours.alive(now)
         return [
@@ -124,8 +128,8 @@
         return {"keeper": voter.name, "change": "joins"}
 
     def _remove(self, voter, reason, now):
-        left = [item for item in self._core.log.voters if item != voter]
-        if not self._leadership.hears_majority_of(left, now):
+        remaining = [item for item in self._core.log.voters if item != voter]
+        if not self._leadership.hears_majority_of(remaining, now):
             return None
-        self._leadership.change_voters(left, now)
+        self._leadership.change_voters(remaining, now)
         return {"keeper": voter.name, "change": "removed", "reason": reason}
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_start.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_start.py
@@ -1,92 +1,99 @@
-"""When a starting instance may serve.
+"""Readiness: when a starting instance may serve requests.
 
-A diskless instance starts with nothing.  If it served from the first state
-that it came by, that could be older than what its failure domain already
-had: a class that was deleted would be served again.  So it waits until it
-has all that was committed after it started; cut off from the majority, until
-it has caught up with everyone whom it can reach.
+An instance without a disk starts with an empty state.  If it served from the
+first state that it received, this could be older than the state its failure
+domain already had, and a deleted request class would be served again.  So it
+waits until it has everything that was committed before it started or, without
+contact with a majority, until it has caught up with every reachable instance.
 """
 
-# A confirmation arrives within a heartbeat or two where there is a quorum.
-# Without one, everyone reachable has been asked several times by then.
-CUT_OFF_AFTER = 4.0
-ASK_INTERVAL = 0.3
-# The keepers are asked more often than all others, for so long after the
-# start: what a majority confirmed after the start is with them first, and
-# callers wait for it.
+# With a quorum, a confirmation arrives within one or two heartbeats.  Without
+# one, all reachable instances have been queried several times by then.
+NO_QUORUM_TIMEOUT_SECONDS = 4.0
+QUERY_INTERVAL_SECONDS = 0.3
+# Just after the start, the keepers are queried more often than the others:
+# they are the first to learn of a confirmation, and callers wait for it.
 KEEPERS_INTERVAL = 0.05
-KEEPERS_SECONDS = 2.0
+KEEPER_QUERY_PERIOD_SECONDS = 2.0
 
 
-class Start:
-    """Decides once when this instance is ready."""
+class Readiness:
+    """Decides when this instance becomes ready, which it then stays."""
 
     def __init__(self, core, freshness, catch_up, neighbours):
         self._core = core
         self._freshness = freshness
         self._catch_up = catch_up
         self._neighbours = neighbours
-        self._began = None
-        self._next_ask = float("-inf")
-        self._next_keepers = float("-inf")
-        self._asked = {}
-        self._answered = set()
+        self._started_at = None
+        self._next_query_at = float("-inf")
+        self._next_keeper_query_at = float("-inf")
+        self._query_sent_at = {}
+        self._answered_by = set()
         self.ready = False
 
-    def begin(self, now):
-        """Take note of when the instance started."""
-        if self._began is None:
-            self._began = now
+    def record_start(self, now):
+        """Record the start time at the first call."""
+        if self._started_at is None:
+            self._started_at = now
 
-    def hear(self, name, message):
-        """Take in the answer of ``name`` to a question of this start."""
-        asked_at = self._asked.get(message.ask)
-        if self.ready or asked_at is None:
+    def handle_answer(self, name, message):
+        """Process the answer of ``name`` to a query of this start."""
+        sent_at = self._query_sent_at.get(message.ask)
+        if self.ready or sent_at is None:
             return
-        self._answered.add(name)
-        self._freshness.prove(message.proven_ago, message.applied, asked_at)
+        self._answered_by.add(name)
+        self._freshness.record_proven(
+            message.proven_ago, message.applied, sent_at
+        )
 
-    def asks(self, now):
-        """Return the number of a question to everyone, or zero.
+    def next_query(self, now):
+        """Return the id of a query to all instances, or 0 if not due.
 
-        It is drawn at random, so that an answer to an earlier start of
-        this instance is not taken for one to this start.
+        The id is random, so that an answer to a query of an earlier start is
+        not mistaken for one of this start.
         """
-        if self.ready or now < self._next_ask:
+        if self.ready or now < self._next_query_at:
             return 0
-        self._next_ask = now + ASK_INTERVAL
-        return self._new_question(now)
+        self._next_query_at = now + QUERY_INTERVAL_SECONDS
+        return self._new_query(now)
 
-    def asks_keepers(self, now):
-        """Return the number of a question to the keepers alone, or zero."""
-        early = self._began is None or now - self._began < KEEPERS_SECONDS
-        if self.ready or not early or now < self._next_keepers:
+    def next_keeper_query(self, now):
+        """Return the id of a query to the keepers only, or 0 if not due."""
+        early = (
+            self._started_at is None
+            or now - self._started_at < KEEPER_QUERY_PERIOD_SECONDS
+        )
+        if self.ready or not early or now < self._next_keeper_query_at:
             return 0
-        self._next_keepers = now + KEEPERS_INTERVAL
-        return self._new_question(now)
+        self._next_keeper_query_at = now + KEEPERS_INTERVAL
+        return self._new_query(now)
 
-    def _new_question(self, now):
-        ask = self._core.rng.getrandbits(48) + 1
-        self._asked[ask] = now
-        return ask
+    def _new_query(self, now):
+        query_id = self._core.rng.getrandbits(48) + 1
+        self._query_sent_at[query_id] = now
+        return query_id
 
     def tick(self, now):
-        """Become ready where that is right; return whether it just did."""
-        self.begin(now)
+        """Update the readiness; return whether it was just reached."""
+        self.record_start(now)
         if self.ready:
             return False
-        self.ready = self._current() or self._as_good_as_any(now)
+        self.ready = self._is_current() or self._matches_reachable(now)
         return self.ready
 
-    def _current(self):
-        """Tell whether all that was committed at the start is here."""
-        return self._freshness.proven.at >= self._began
+    def _is_current(self):
+        """Return whether all entries committed before the start are here."""
+        return self._freshness.proven.at >= self._started_at
 
-    def _as_good_as_any(self, now):
+    def _matches_reachable(self, now):
         core = self._core
-        if now - self._began < CUT_OFF_AFTER or not core.log_id:
+        if (
+            now - self._started_at < NO_QUORUM_TIMEOUT_SECONDS
+            or not core.log_id
+        ):
             return False
         alive = self._neighbours.alive(now)
-        if not alive <= self._answered:
+        if not alive <= self._answered_by:
             return False
-        return core.commit >= self._catch_up.most(alive)
+        return core.commit >= self._catch_up.highest_applied(alive)
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_status.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_status.py
@@ -1,4 +1,4 @@
-"""What an instance tells people of its replica."""
+"""The status of a replica, as shown to operators."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class LogStatus(msgspec.Struct):
-    """How a replica stands; ages in seconds, -1 for never."""
+    """The status of a replica; ages are in seconds, -1 if unknown."""
 
     role: str
     term: int
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_voters.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_voters.py
@@ -1,4 +1,4 @@
-"""Operators' changes of who is a keeper, one voter at a time."""
+"""Configuration changes requested by operators, one voter at a time."""
 
 import enum
 
@@ -9,7 +9,7 @@
 
 
 class VoterAction(enum.Enum):
-    """What is asked for."""
+    """The requested change."""
 
     ADD = "add"
     REMOVE = "remove"
@@ -25,7 +25,7 @@
 
 
 class VoterReply(msgspec.Struct, tag="voter_reply"):
-    """What the leader says; ``remedy`` is empty where it was accepted."""
+    """The leader's reply; ``remedy`` is empty if the request was accepted."""
 
     log_id: str
     request_id: str
@@ -34,7 +34,7 @@
 
 
 class Refusal(msgspec.Struct):
-    """Why a change of voters was not accepted."""
+    """Why a configuration change was refused; always true."""
 
     message: str
     remedy: str
@@ -44,17 +44,17 @@
 
 
 class VoterChanges:
-    """Checks and starts changes of voters, on the leader."""
+    """Validates and starts configuration changes on the leader."""
 
     def __init__(self, core, leadership, founding):
         self._core = core
         self._leadership = leadership
         self._founding = founding
 
-    def ask(self, action, name, request_id, leader, now):
-        """Start a change here, or ask the leader to.
+    def request_change(self, action, name, request_id, leader, now):
+        """Start a change on this leader, or forward it to ``leader``.
 
-        Returns the reply, or ``None`` where it is to come from ``leader``.
+        Returns the reply, or ``None`` if ``leader`` will send it.
         """
         log_id = self._core.log_id
         request = VoterRequest(log_id, request_id, action, name)
@@ -66,28 +66,33 @@
         return VoterReply(
             log_id,
             request_id,
-            "No leader of the keepers is known here.",
-            "send it again later, or to another instance",
+            "This instance does not know the leader of the keepers.",
+            "send the request again later, or to another instance",
         )
 
-    def requested(self, source, message, now):
-        """Answer another instance that asks for a change."""
+    def handle_request(self, source, message, now):
+        """Answer a request that another instance forwarded."""
         if self._core.role is core_module.Role.LEADER:
             self._core.send(source.instance, self._reply(message, now))
 
     def _reply(self, request, now):
-        refusal = self.start(request.action, request.name, now)
+        refusal = self.start_change(request.action, request.name, now)
         if refusal:
-            text, remedy = refusal.message, refusal.remedy
+            message, remedy = refusal.message, refusal.remedy
         else:
-            text, remedy = "accepted; list the keepers to see it done", ""
-        return VoterReply(self._core.log_id, request.request_id, text, remedy)
+            message, remedy = (
+                "accepted; list the keepers to see when it is done",
+                "",
+            )
+        return VoterReply(
+            self._core.log_id, request.request_id, message, remedy
+        )
 
-    def start(self, action, name, now):
-        """Start a change and return ``None``, or a :class:`Refusal`."""
+    def start_change(self, action, name, now):
+        """Start a change; return ``None`` or the :class:`Refusal`."""
         if not self._leadership.can_change_voters():
             return Refusal(
-                "Another change of keepers, or a new leader, is settling.",
+                "Another change of keepers or an election is in progress.",
                 "send it again in a few seconds",
             )
         if action is VoterAction.ADD:
@@ -102,30 +107,30 @@
                 f"{name} has not shown itself as an instance with a disk.",
                 "start it with keeper.data_dir and let it reach a keeper",
             )
-        wanted = entries.Voter(name, folder)
+        voter = entries.Voter(name, folder)
         if any(item.name == name for item in voters):
             return Refusal(
-                f"{name} is a keeper already, by this or an earlier disk.",
-                f"if it lost its disk, remove {name} first and add it then",
+                f"{name} is already a keeper, with this or an earlier disk.",
+                f"if it lost its disk, remove {name} before adding it again",
             )
-        # It becomes a voter once it has caught up, not before: until then
-        # it would be counted on for entries that it does not have.
-        self._leadership.joining = wanted
+        # It becomes a voter only once it has caught up.  Before, it would
+        # count towards majorities for entries that it does not have.
+        self._leadership.joining = voter
         return None
 
     def _remove(self, name, now):
         voters = self._core.log.voters
-        left = [item for item in voters if item.name != name]
-        if len(left) == len(voters):
+        remaining = [item for item in voters if item.name != name]
+        if len(remaining) == len(voters):
             return Refusal(
                 f"{name} is not a keeper.", "list the keepers to see who is"
             )
-        if not self._leadership.hears_majority_of(left, now):
+        if not self._leadership.hears_majority_of(remaining, now):
             return Refusal(
-                f"Without {name} fewer than a majority of the keepers left"
-                " would be reachable.",
+                f"Without {name}, less than a majority of the remaining"
+                " keepers would be reachable.",
                 "bring another keeper back first, or add one",
             )
         self._leadership.joining = None
-        self._leadership.change_voters(left, now)
+        self._leadership.change_voters(remaining, now)
         return None
--- a/tests/cover/test_keeper_repair.py
+++ b/tests/cover/test_keeper_repair.py
@@ -1,4 +1,4 @@
-"""The leader keeps as many voters as are wanted, whoever goes for good."""
+"""Automatic replacement of voters, and proofs that the state is recent."""
 
 import collections
 import random
@@ -11,9 +11,9 @@
 OPTIONS = quorum_log_options.LogOptions(wanted_voters=3, proves_often=True)
 
 
-def settled_world(seed=1, **numbers):
+def started_world(seed=1, **counts):
     world = quorum_world.QuorumWorld(
-        random.Random(seed), options=OPTIONS, **numbers
+        random.Random(seed), options=OPTIONS, **counts
     )
     world.run_until(world.leader)
     world.run(3.0)
@@ -30,24 +30,24 @@
     return {item.folder for item in log._core.log.voters}
 
 
-def test_a_keeper_that_is_gone_for_good_is_replaced_by_a_spare():
-    # A machine is taken away and an empty one comes at another address.
-    # Until it votes, the next loss would stop every change.
-    world = settled_world(spares=1)
+def test_a_permanently_lost_keeper_is_replaced_by_a_spare():
+    # A keeper is lost permanently and an empty one starts at another address.
+    # Until the new one votes, a second failure would stop all writes.
+    world = started_world(spares=1)
     assert voters_of(world) == {"k1", "k2", "k3"}
-    gone = world.leader()
-    world.crash(gone)
+    lost = world.leader()
+    world.crash(lost)
     world.run_until(
-        lambda: world.leader() and gone not in voters_of(world), 12.0
+        lambda: world.leader() and lost not in voters_of(world), 12.0
     )
     assert len(voters_of(world)) == 3
     assert "k4" in voters_of(world)
 
 
 def test_a_keeper_that_lost_its_disk_votes_again_as_a_new_one():
-    # A keeper comes back at its address with an empty folder.  What its old
-    # folder had acknowledged must not count as held by the new one.
-    world = settled_world(spares=0)
+    # A keeper comes back at its address with an empty data folder.
+    # Acknowledgements of the old folder must not count for the new one.
+    world = started_world(spares=0)
     lost = sorted(voters_of(world) - {world.leader()})[0]
     before = folders_of(world)
     world.crash(lost)
@@ -65,9 +65,10 @@
 
 
 def test_a_second_loss_right_after_the_repair_loses_nothing():
-    # One keeper is replaced, then another loses its disk.  Were the first
-    # repair only half done, the two could not tell what was acknowledged.
-    world = settled_world(spares=1)
+    # One keeper is replaced, then another loses its disk.  If the first
+    # repair were incomplete, the remaining two might lack entries that were
+    # acknowledged.
+    world = started_world(spares=1)
     first = world.leader()
     world.crash(first)
     world.run_until(
@@ -91,8 +92,8 @@
     world.check()
 
 
-def test_a_silent_keeper_stays_where_no_spare_is_there():
-    world = settled_world(spares=0)
+def test_a_silent_keeper_stays_a_voter_if_there_is_no_spare():
+    world = started_world(spares=0)
     silent = sorted(voters_of(world) - {world.leader()})[0]
     world.crash(silent)
     world.run(6.0)
@@ -100,8 +101,8 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_chance_repairs_never_lose_what_was_applied(seed):
-    world = settled_world(seed, spares=2)
+def test_random_repairs_never_lose_applied_entries(seed):
+    world = started_world(seed, spares=2)
     rng = random.Random(seed)
     for _ in range(4):
         world.run_until(world.leader, 20.0)
@@ -125,8 +126,9 @@
 
 
 def test_an_instance_that_lost_its_disk_founds_no_second_log():
-    # After a restart of everything one keeper has an empty disk.  Were it to
-    # found a log of its own, its side would serve a configuration of its own.
+    # After a restart of all instances, a keeper has an empty disk.  If it
+    # founded a second log, the instances that join it would serve a different
+    # configuration.
     options = quorum_log_options.LogOptions(may_found=False)
     world = quorum_world.QuorumWorld(random.Random(1), options=options)
     world.run(5.0)
@@ -135,14 +137,14 @@
 
 
 def test_every_instance_keeps_a_recent_proof_of_its_state():
-    world = settled_world(learners=2)
+    world = started_world(learners=2)
     world.run(3.0)
     for node in world.nodes.values():
         assert node.log.proven_ago(world.now) < 1.2
 
 
-def test_the_proof_of_a_cut_off_instance_ages():
-    world = settled_world(learners=2)
+def test_the_proof_of_a_partitioned_instance_ages():
+    world = started_world(learners=2)
     world.partition({"l1": 1})
     world.run(3.0)
     assert world.nodes["l1"].log.proven_ago(world.now) > 2.0
@@ -152,50 +154,50 @@
     assert world.nodes["l1"].log.proven_ago(world.now) < 1.2
 
 
-def asked_by(world, seconds):
-    """Return whom each learner asks for proofs, in so many seconds."""
-    asked = collections.defaultdict(collections.Counter)
+def polls_by_instance(world, seconds):
+    """Count the polls of each instance by target during ``seconds``."""
+    polls = collections.defaultdict(collections.Counter)
 
-    def watched(name, question):
-        def call(leader, now):
-            found = question(leader, now)
-            if found:
-                asked[name][found[0]] += 1
-            return found
+    def counting(name, next_query_of):
+        def next_query(leader, now):
+            target = next_query_of(leader, now)
+            if target:
+                polls[name][target[0]] += 1
+            return target
 
-        return call
+        return next_query
 
     for name, node in world.nodes.items():
-        proving = node.log._proving
-        proving.question = watched(name, proving.question)
+        proving = node.log._polling
+        proving.next_query = counting(name, proving.next_query)
     world.run(seconds)
-    return asked
+    return polls
 
 
-def test_instances_ask_a_keeper_of_their_own_domain():
-    # Two hundred instances that all ask the leader twice a second are 400
-    # questions and answers a second at one process, 0.11 core at 36
-    # instances; keepers of the other domains idle.
-    world = settled_world(learners=3)
-    asked = asked_by(world, 4.0)
+def test_instances_poll_a_keeper_of_their_own_domain():
+    # If two hundred instances all polled the leader twice a second, one
+    # process would handle 400 requests a second while the keepers of the other
+    # domains are idle.  At 36 instances this took 0.11 core.
+    world = started_world(learners=3)
+    polls = polls_by_instance(world, 4.0)
     for number in "123":
-        assert set(asked[f"l{number}"]) == {f"k{number}"}
+        assert set(polls[f"l{number}"]) == {f"k{number}"}
     leader = world.leader()
     for name in {"k1", "k2", "k3"} - {leader}:
-        assert set(asked[name]) == {leader}
+        assert set(polls[name]) == {leader}
     for node in world.nodes.values():
         assert node.log.proven_ago(world.now) < 1.6
 
 
-def test_near_keeper_that_does_not_reach_the_leader_is_left():
-    # A keeper is cut off from the leader while the instances of its domain
-    # reach both: by its word alone their proofs would age until they refuse
-    # every caller.
-    world = settled_world(learners=3)
+def test_local_keeper_that_does_not_reach_the_leader_is_abandoned():
+    # A keeper is partitioned from the leader, but the instances of its domain
+    # reach both.  If they polled only that keeper, their proofs would age
+    # until they refuse every caller.
+    world = started_world(learners=3)
     leader = world.leader()
-    near = next(name for name in ("k1", "k2", "k3") if name != leader)
-    learner = world.nodes[near.replace("k", "l")].log
-    world.nodes[near].log._proving.question = lambda leader, now: None
+    local = next(name for name in ("k1", "k2", "k3") if name != leader)
+    learner = world.nodes[local.replace("k", "l")].log
+    world.nodes[local].log._polling.next_query = lambda leader, now: None
     oldest = 0.0
     for _ in range(100):
         world.run(0.1)
