--- a/tests/common/linearizable.py
+++ b/tests/common/linearizable.py
@@ -1,10 +1,10 @@
-"""A checker of linearizability for histories that bring their witness.
+"""A linearizability checker for histories with a known order.
 
-Deciding whether any order of the operations explains their answers is hard
-in general (Gibbons and Korach, "Testing Shared Memories", 1997).  Here each
-answered operation tells its log position, so one order is given, and it is
-enough to check that one: it must respect real time, and a register that
-runs the operations in that order must give the same answers.
+Deciding whether any order of the operations explains their answers is
+NP-complete in general (Gibbons and Korach, "Testing Shared Memories", 1997).
+Here every operation has its log index, so only the order of the log needs to
+be checked: it must respect real time, and a register that executes the
+operations in this order must give the same answers.
 """
 
 import dataclasses
@@ -14,9 +14,9 @@
 class Operation:
     """One answered operation on the register.
 
-    A write has ``wrote`` and, where it was conditional, ``if_match``; a
-    read has what it ``saw``: a value and its version.  ``position`` is
-    where it stands in the log.
+    A write has ``wrote``, the new value, and ``if_match`` if it was
+    conditional.  A read has ``saw``, a tuple of the value and its version.
+    ``position`` is the place in the log order.
     """
 
     began: float
@@ -28,18 +28,18 @@
     saw: tuple | None = None
 
 
-def fault_in(operations):
-    """Return what is wrong with a history, or ''."""
+def find_violation(operations):
+    """Return a description of the first violation, or ''."""
     order = sorted(operations, key=lambda item: item.position)
-    latest_began = float("-inf")
+    latest_start = float("-inf")
     for item in order:
-        if item.ended < latest_began:
-            return f"{item} ended before one that it follows began"
-        latest_began = max(latest_began, item.began)
-    return _replay(order)
+        if item.ended < latest_start:
+            return f"{item} ended before an earlier operation in the log began"
+        latest_start = max(latest_start, item.began)
+    return _check_answers(order)
 
 
-def _replay(order):
+def _check_answers(order):
     value, version = None, 0
     for item in order:
         if item.saw is not None and item.saw != (value, version):
@@ -48,7 +48,7 @@
             continue
         matches = item.if_match in (None, version)
         if item.accepted != matches:
-            return f"{item} met version {version}"
+            return f"{item} was applied to version {version}"
         if item.accepted:
             value, version = item.wrote, item.position
     return ""
--- a/tests/common/quorum_machine.py
+++ b/tests/common/quorum_machine.py
@@ -1,4 +1,4 @@
-"""The state machine over :mod:`.quorum_world`, for short and long runs."""
+"""A stateful test of the log in a :mod:`.quorum_world`."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 def put(operation_id, name, number, if_match):
-    """Return a change of one pool."""
+    """Return a change that writes one backend pool."""
     spec = {"select": {"model": f"m{number}"}}
     raw = msgspec.Raw(msgspec.json.encode(spec))
     operation = changes.Operation(
@@ -27,17 +27,17 @@
 
 
 class QuorumMachine(stateful.RuleBasedStateMachine):
-    """Writes, loss, partitions, crashes, lost disks, changes of voters."""
+    """Writes under loss, partitions, crashes, lost disks, voter changes."""
 
     def __init__(self):
         super().__init__()
         self.world = None
-        self.count = 0
-        self.lost = set()
+        self.write_count = 0
+        self.lost_disks = set()
         self.writes = {}
         self.not_again = set()
-        self.kept = quorum_log_core.CHECKPOINT_ENTRIES
-        self.kept_tail = quorum_log_core.TAIL_ENTRIES
+        self.saved_checkpoint_entries = quorum_log_core.CHECKPOINT_ENTRIES
+        self.saved_tail_entries = quorum_log_core.TAIL_ENTRIES
 
     @stateful.initialize(
         seed=st.integers(0, 2**32),
@@ -46,7 +46,7 @@
         slow_disk=st.sampled_from([0.0, 0.5, 0.95]),
     )
     def begin(self, seed, loss, delay, slow_disk):
-        # Checkpoints after a handful of entries, so that short runs have
+        # Checkpoints are taken after a few entries, so that short runs have
         # many of them.
         quorum_log_core.CHECKPOINT_ENTRIES = 6
         quorum_log_core.TAIL_ENTRIES = 2
@@ -61,8 +61,8 @@
             if self.world:
                 self.heal_and_settle()
         finally:
-            quorum_log_core.CHECKPOINT_ENTRIES = self.kept
-            quorum_log_core.TAIL_ENTRIES = self.kept_tail
+            quorum_log_core.CHECKPOINT_ENTRIES = self.saved_checkpoint_entries
+            quorum_log_core.TAIL_ENTRIES = self.saved_tail_entries
 
     @stateful.rule(seconds=st.sampled_from([0.1, 0.3, 1.0, 3.0, 6.0]))
     def run(self, seconds):
@@ -77,17 +77,17 @@
         if not self.world.nodes:
             return
         name = data.draw(st.sampled_from(sorted(self.world.nodes)))
-        self.count += 1
-        held = self.world.nodes[name].store.objects
+        self.write_count += 1
+        objects = self.world.nodes[name].store.objects
         versions = [
             item.version
-            for kind in held.values()
+            for kind in objects.values()
             for item in kind.values()
             if item.name == pool
         ]
         present = versions[0] if versions else 0
         if_match = {"any": None, "present": present, "old": 1}[guess]
-        change = put(f"op{self.count}", pool, self.count, if_match)
+        change = put(f"op{self.write_count}", pool, self.write_count, if_match)
         self.writes[change.operation_id] = change
         self.world.propose(name, change)
 
@@ -112,27 +112,27 @@
         data=st.data(),
     )
     def write_to_leader(self, pools, then, data):
-        """Writes that the leader may or may not get to the others."""
+        """Make writes that the leader may fail to replicate."""
         leader = self.world.leader()
         if not leader:
             return
         for pool in pools:
-            self.count += 1
-            change = put(f"op{self.count}", pool, self.count, None)
+            self.write_count += 1
+            change = put(f"op{self.write_count}", pool, self.write_count, None)
             self.writes[change.operation_id] = change
             self.world.propose(leader, change)
         if then == "crash":
             self.world.crash(leader)
         elif then == "power":
-            # Just when the others may have acknowledged.
+            # About the time when the followers acknowledge.
             self.world.run(0.1)
             self.power_cut(True)
         elif then == "isolate":
             self.world.partition({leader: 1})
         elif then == "split":
             others = sorted(set(self.world.disks) - {leader})
-            friend = data.draw(st.sampled_from(others))
-            self.world.partition({leader: 1, friend: 1})
+            other = data.draw(st.sampled_from(others))
+            self.world.partition({leader: 1, other: 1})
 
     @stateful.rule()
     def heal(self):
@@ -149,7 +149,7 @@
         self.power_cut(restarted)
 
     def power_cut(self, restarted):
-        """All keepers stop at once, whatever their disks have synced."""
+        """Stop all keepers at once, with writes still unsynced."""
         for name in sorted(set(self.world.nodes) & set(self.world.disks)):
             self.world.crash(name)
             if restarted:
@@ -163,13 +163,13 @@
 
     @stateful.rule(data=st.data())
     def lose_disk(self, data):
-        """One keeper at a time may lose its disk until it is replaced."""
+        """Let one stopped keeper lose its disk, at most one per run."""
         down = sorted(set(self.world.disks) - set(self.world.nodes))
-        if not down or self.lost:
+        if not down or self.lost_disks:
             return
         name = data.draw(st.sampled_from(down))
         self.world.lose_disk(name)
-        self.lost.add(name)
+        self.lost_disks.add(name)
 
     @stateful.rule(data=st.data())
     def change_voter(self, data):
@@ -177,12 +177,12 @@
         name = data.draw(st.sampled_from(sorted(self.world.disks)))
         if action is quorum_log_voters.VoterAction.REMOVE:
             voters = {item.name for item in self.world.voters()}
-            if len(voters) <= 3 and name not in self.lost:
+            if len(voters) <= 3 and name not in self.lost_disks:
                 return
         self.world.change_voter(action, name)
 
     def heal_and_settle(self):
-        """In the end all come back, agree, and take another write."""
+        """Restart all nodes; they must agree and accept another write."""
         world = self.world
         world.partition({})
         world.loss = 0.0
@@ -195,9 +195,9 @@
         world.run(10.0)
         last = put("last", "p1", 0, None)
         world.propose("l1", last)
-        world.run_until(lambda: world.settled["last"])
-        assert world.settled["last"][0].kind is quorum_log.SettledKind.APPLIED
-        version = world.at["last"]
+        world.run_until(lambda: world.outcomes["last"])
+        assert world.outcomes["last"][0].kind is quorum_log.SettledKind.APPLIED
+        version = world.applied_at["last"]
         world.run_until(
             lambda: all(
                 node.log.applied >= version for node in world.nodes.values()
@@ -206,40 +206,42 @@
         self.check_answers()
 
     def check_answers(self):
-        """Each answer that was given is true."""
-        for operation_id, ends in self.world.settled.items():
+        """Check that every answer to a proposal was correct."""
+        for operation_id, outcomes in self.world.outcomes.items():
             applied = [
-                end
-                for end in ends
-                if end.kind is quorum_log.SettledKind.APPLIED
+                outcome
+                for outcome in outcomes
+                if outcome.kind is quorum_log.SettledKind.APPLIED
             ]
-            assert all(end == applied[0] for end in applied)
-            for end in applied:
-                assert end.version == self.world.at[operation_id]
+            assert all(outcome == applied[0] for outcome in applied)
+            for outcome in applied:
+                assert outcome.version == self.world.applied_at[operation_id]
             never_ran = [
-                end
-                for end in ends
-                if end.kind is quorum_log.SettledKind.NOT_RUN
+                outcome
+                for outcome in outcomes
+                if outcome.kind is quorum_log.SettledKind.NOT_RUN
             ]
-            # One that crashed with its instance was not answered, and may
-            # have run.
+            # A proposal whose instance crashed got no answer and may have
+            # taken effect.
             if len(never_ran) == self.world.proposed[operation_id]:
-                assert operation_id not in self.world.at
+                assert operation_id not in self.world.applied_at
         self.check_winners()
 
     def check_winners(self):
-        """Of several writes against one version, one is accepted."""
+        """Check that at most one write per ``if_match`` version won."""
         winners = set()
         for operation_id, change in self.writes.items():
-            version = self.world.at.get(operation_id)
+            version = self.world.applied_at.get(operation_id)
             operation = change.operations[0]
             if version is None or operation.if_match is None:
                 continue
-            seen = self.world.history[version]
+            encoded = self.world.applied_by_version[version]
             _, result = msgspec.json.decode(
-                seen, type=tuple[changes.Change, changes.Result]
+                encoded, type=tuple[changes.Change, changes.Result]
             )
             if result.kind is changes.ResultKind.ACCEPTED:
                 key = (operation.name, operation.if_match)
-                assert key not in winners, f"{key} has two winners"
+                assert key not in winners, (
+                    f"two writes were accepted for {key}"
+                )
                 winners.add(key)
--- a/tests/common/quorum_world.py
+++ b/tests/common/quorum_world.py
@@ -1,8 +1,8 @@
-"""Several pure replicas, a network that loses messages, disks that forget.
+"""A simulation of replicas with an unreliable network and disks.
 
-Time, network and disks are driven by the test.  Messages cross as the
-bytes that the codec makes of them.  A write stays in the disk's cache until
-it is synced; a crash loses the cache but for a prefix of chance.
+The test drives the time, the network and the disks.  Messages are
+transferred as bytes, encoded by the codec.  A write stays in the disk's cache
+until it is synced; a crash loses the cache except for a random prefix.
 """
 
 import collections
@@ -27,7 +27,7 @@
 
 
 class FakeNeighbours(quorum_log_neighbours.Neighbours):
-    """Names are addresses; whoever can be reached is alive."""
+    """Uses names as addresses; reachable nodes count as alive."""
 
     def __init__(self, world, name):
         self._world = world
@@ -54,14 +54,14 @@
 
 
 class NoDirectory:
-    """Stands in for the directory, which tests of the log do not need."""
+    """A stub of the directory, which tests of the log do not need."""
 
     def invalidate(self):
-        """Nothing is held."""
+        """Do nothing, since nothing is cached."""
 
 
 class FakeDisk:
-    """What is synced, and what waits in the cache."""
+    """A disk with synced content and a cache of unsynced writes."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -70,7 +70,7 @@
         self.cache = []
 
     def keep(self):
-        """Move the oldest cached write to the disk and return its ticket."""
+        """Sync the oldest cached write and return its ticket."""
         effect = self.cache.pop(0)
         if isinstance(effect, effects.ReplaceLog):
             self.checkpoint = effect.checkpoint
@@ -84,7 +84,7 @@
 
 
 class RecordingApplier(configuration.ChangeApplier):
-    """Compares each applied change with those of the other replicas."""
+    """Checks that all replicas apply the same changes."""
 
     def __init__(self, world, objects):
         super().__init__(objects, NoDirectory())
@@ -92,12 +92,12 @@
 
     def apply(self, version, entry):
         result = super().apply(version, entry)
-        self._world.record(version, entry, result)
+        self._world.check_applied(version, entry, result)
         return result
 
 
-class _Recorded:
-    """A machine whose ``apply`` is watched."""
+class _StateMachineProxy:
+    """A proxy of a state machine with a replaced ``apply``."""
 
     def __init__(self, machine, apply):
         self._machine = machine
@@ -108,21 +108,24 @@
 
 
 class Node:
-    """One replica that runs."""
+    """One running replica."""
 
     def __init__(self, log, objects, disk, started):
         self.log = log
         self.store = objects
         self.disk = disk
         self.started = started
-        self.highest = 0
-        # What those in its failure domain had when it started, of those
-        # whom it could reach ever since.
-        self.domain_had = {}
+        self.highest_applied = 0
+        # The applied index, at the start of this node, of each ready node in
+        # its failure domain that it has been able to reach ever since.
+        self.domain_applied = {}
 
 
 class QuorumWorld:
-    """Keepers ``k1``… in domains of their own, and learners ``l1``…"""
+    """Keepers ``k1``… in separate failure domains, and learners ``l1``…
+
+    ``spares`` is the number of keepers that are not in the bootstrap list.
+    """
 
     def __init__(
         self,
@@ -140,12 +143,12 @@
         self.disks = {name: FakeDisk(f"{name}-0") for name in names}
         self.names = names + [f"l{n + 1}" for n in range(learners)]
         self.nodes = {}
-        self.cut = {}
-        self.flying = []
-        self.history = {}
-        self.positions = {}
-        self.at = {}
-        self.settled = {}
+        self.sides = {}
+        self.in_flight = []
+        self.applied_by_version = {}
+        self.entry_by_index = {}
+        self.applied_at = {}
+        self.outcomes = {}
         self.proposed = collections.Counter()
         self.loss = 0.0
         self.slow_disk = 0.0
@@ -153,22 +156,25 @@
         for name in self.names:
             self.start(name)
 
-    # -- the outside ------------------------------------------------------
+    # -- faults and requests ----------------------------------------------
 
     def domain(self, name):
-        """Learner ``l1`` shares a failure domain with ``k1``."""
+        """Return the failure domain of a node.
+
+        Learner ``l1`` is in the same one as keeper ``k1``.
+        """
         return name[1:]
 
     def connected(self, one, other):
-        """Tell whether no partition lies between two nodes."""
+        """Return whether two nodes run and are not partitioned."""
         return (
             one in self.nodes
             and other in self.nodes
-            and self.cut.get(one, 0) == self.cut.get(other, 0)
+            and self.sides.get(one, 0) == self.sides.get(other, 0)
         )
 
     def start(self, name):
-        """Start a node from what its disk has."""
+        """Start a node from the synced content of its disk."""
         objects = store.ResourceStore()
         disk = self.disks.get(name)
         log = quorum_log.QuorumLog(
@@ -179,7 +185,7 @@
             self.bootstrap,
             self.options,
         )
-        self._record_positions(log)
+        self._check_entries(log)
         log.register(changes.Change, RecordingApplier(self, objects))
         log.register(entries.ReadMark, configuration.ReadMarkApplier())
         log.register(
@@ -190,7 +196,7 @@
         )
         node = Node(log, objects, disk, self.now)
         self.nodes[name] = node
-        node.domain_had = {
+        node.domain_applied = {
             peer: other.log.applied
             for peer, other in self.nodes.items()
             if self.domain(peer) == self.domain(name)
@@ -199,55 +205,60 @@
         }
         self.run_effects(name, log.open(self.now))
 
-    def _record_positions(self, log):
-        """Compare the entry that a replica applies at each position."""
+    def _check_entries(self, log):
+        """Check that all replicas apply the same entry at each index."""
         machine = log._machine
         apply = type(machine).apply
 
-        def recorded(entry):
-            seen = (entry.term, entry.proposal_id, type(entry.body))
-            held = self.positions.setdefault(entry.index, seen)
-            assert held == seen, f"position {entry.index} differs"
+        def checked_apply(entry):
+            applied = (entry.term, entry.proposal_id, type(entry.body))
+            known = self.entry_by_index.setdefault(entry.index, applied)
+            assert known == applied, (
+                f"different entries applied at index {entry.index}"
+            )
             return apply(machine, entry)
 
-        log._core.machine = _Recorded(machine, recorded)
+        log._core.machine = _StateMachineProxy(machine, checked_apply)
 
     def crash(self, name):
-        """Stop a node; part of what its disk had not synced is lost."""
+        """Stop a node; its unsynced writes are lost, or all but a prefix."""
         node = self.nodes.pop(name)
         if node.disk:
-            kept = self.rng.randint(0, len(node.disk.cache))
-            kept *= self.rng.randint(0, 1)
-            for _ in range(kept):
+            synced_count = self.rng.randint(0, len(node.disk.cache))
+            synced_count *= self.rng.randint(0, 1)
+            for _ in range(synced_count):
                 node.disk.keep()
             node.disk.cache = []
-        self._forget_unreachable()
+        self._drop_unreachable()
 
-    def partition(self, cut):
-        """Let only nodes with the same value in ``cut`` reach each other."""
-        self.cut = cut
-        self._forget_unreachable()
+    def partition(self, sides):
+        """Partition the network by the value of each node in ``sides``.
 
-    def _forget_unreachable(self):
+        Only nodes with the same value reach each other; the default is 0.
+        """
+        self.sides = sides
+        self._drop_unreachable()
+
+    def _drop_unreachable(self):
         for name, node in self.nodes.items():
-            node.domain_had = {
+            node.domain_applied = {
                 peer: applied
-                for peer, applied in node.domain_had.items()
+                for peer, applied in node.domain_applied.items()
                 if self.connected(peer, name)
             }
 
     def lose_disk(self, name):
-        """Give a stopped keeper an empty folder."""
+        """Give a stopped keeper an empty data folder."""
         generation = int(self.disks[name].folder.split("-")[1]) + 1
         self.disks[name] = FakeDisk(f"{name}-{generation}")
 
     def propose(self, name, change):
-        """Hand a change to a node; its end shows in ``settled``."""
-        ends = self.settled.setdefault(change.operation_id, [])
+        """Propose a change on a node; ``outcomes`` records how it ended."""
+        outcomes = self.outcomes.setdefault(change.operation_id, [])
         self.proposed[change.operation_id] += 1
 
-        def on_settled(found, now):
-            ends.append(found)
+        def on_settled(settled, now):
+            outcomes.append(settled)
             return []
 
         node = self.nodes[name]
@@ -259,7 +270,7 @@
         )
 
     def change_voter(self, action, name):
-        """Ask the leader for a change of voters; return its remedy."""
+        """Request a configuration change; return the remedy of the reply."""
         leader = self.leader()
         if not leader:
             return "no leader"
@@ -273,7 +284,7 @@
     # -- running ----------------------------------------------------------
 
     def run(self, seconds):
-        """Let time pass: ticks, messages in any order, syncs."""
+        """Advance the time with ticks, message deliveries and syncs."""
         for _ in range(round(seconds / STEP)):
             self.now += STEP
             for name in list(self.nodes):
@@ -283,10 +294,10 @@
                 self._sync()
             self.check()
 
-    def run_until(self, holds, seconds=40.0):
-        """Let time pass until ``holds()``; fail where it never is."""
+    def run_until(self, condition, seconds=40.0):
+        """Advance the time until ``condition()``; fail after ``seconds``."""
         end = self.now + seconds
-        while not holds():
+        while not condition():
             assert self.now < end, "waited in vain"
             self.run(STEP)
 
@@ -303,23 +314,23 @@
             return
         sender = messages.Sender(name, name, self.domain(name), "r1", 1)
         body = codec.encode(codec.Envelope(sender, [effect.message]))
-        self.flying.append((name, effect.address, body))
+        self.in_flight.append((name, effect.address, body))
 
     def _deliver(self):
-        batch, self.flying = self.flying, []
+        batch, self.in_flight = self.in_flight, []
         if self.loss or self.delay:
             self.rng.shuffle(batch)
         for source, target, body in batch:
             if not self.connected(source, target):
                 continue
             if self.rng.random() < self.delay:
-                self.flying.append((source, target, body))
+                self.in_flight.append((source, target, body))
                 continue
-            chance = self.rng.random()
-            if chance < self.loss:
+            draw = self.rng.random()
+            if draw < self.loss:
                 continue
-            if chance < 2 * self.loss:
-                self.flying.append((source, target, body))
+            if draw < 2 * self.loss:
+                self.in_flight.append((source, target, body))
             envelope, _ = codec.decode(body)
             log = self.nodes[target].log
             for message in envelope.messages:
@@ -337,26 +348,32 @@
             ticket = node.disk.keep()
             self.run_effects(name, node.log.synced(ticket, self.now))
 
-    # -- what must hold ---------------------------------------------------
+    # -- invariants -------------------------------------------------------
 
-    def record(self, version, entry, result):
-        """Compare an applied change with what others applied there."""
-        seen = msgspec.json.encode((entry, result))
-        held = self.history.setdefault(version, seen)
-        assert held == seen, f"version {version} differs"
-        first = self.at.setdefault(entry.operation_id, version)
+    def check_applied(self, version, entry, result):
+        """Check an applied change against those of the other replicas."""
+        applied = msgspec.json.encode((entry, result))
+        known = self.applied_by_version.setdefault(version, applied)
+        assert known == applied, (
+            f"different changes applied at version {version}"
+        )
+        first = self.applied_at.setdefault(entry.operation_id, version)
         assert first == version, f"{entry.operation_id} applied twice"
 
     def check(self):
-        """Check what holds between the replicas at every moment."""
+        """Check the invariants that hold at any time."""
         for name, node in self.nodes.items():
             applied = node.log.applied
-            assert applied >= node.highest, f"{name} went back"
-            node.highest = applied
+            assert applied >= node.highest_applied, (
+                f"the applied index of {name} went back"
+            )
+            node.highest_applied = applied
             if node.log.ready:
-                had = max(node.domain_had.values(), default=0)
-                assert applied >= had, f"{name} is ready too soon"
-                node.domain_had = {}
+                domain_highest = max(node.domain_applied.values(), default=0)
+                assert applied >= domain_highest, (
+                    f"{name} became ready too early"
+                )
+                node.domain_applied = {}
 
     def leader(self):
         """Return the leader with the highest term, or ''."""
@@ -370,7 +387,7 @@
         return max(leaders, key=lambda n: statuses[n].term, default="")
 
     def voters(self):
-        """Return the voters as the leader has them."""
+        """Return the voters in the leader's configuration."""
         leader = self.leader()
         if not leader:
             return []
--- a/tests/cover/test_linearizable.py
+++ b/tests/cover/test_linearizable.py
@@ -1,4 +1,4 @@
-"""Writes and fresh reads of one object are linearizable."""
+"""Linearizability of writes and reads of one object."""
 
 import random
 
@@ -15,25 +15,25 @@
 from tests.common import quorum_world
 
 
-def held(node):
-    """Return the value and version of the register at a node."""
+def register_value(node):
+    """Return the value and version of the register on a node."""
     found = node.store.get(specs.Kind.BACKEND_POOLS, "x")
     return (found.spec.select.model, found.version) if found else (None, 0)
 
 
 class Clients:
-    """Run operations against a world and write down their answers."""
+    """Runs operations against a world and records their answers."""
 
     def __init__(self, world):
         self.world = world
-        self.done = []
-        self.asked = 0
+        self.operations = []
+        self.operation_count = 0
         self.unanswered = {}
 
     def write(self, name, if_match):
         """Write a new value through a node."""
-        self.asked += 1
-        number = self.asked
+        self.operation_count += 1
+        number = self.operation_count
         change = quorum_machine.put(f"w{number}", "x", number, if_match)
         began = self.world.now
 
@@ -43,7 +43,7 @@
             if found.kind is quorum_log.SettledKind.APPLIED:
                 del self.unanswered[change.operation_id]
                 accepted = found.result.kind is changes.ResultKind.ACCEPTED
-                self.done.append(
+                self.operations.append(
                     linearizable.Operation(
                         began,
                         now,
@@ -58,19 +58,19 @@
         self.propose(name, change, settled)
 
     def read(self, name):
-        """Read afresh through a node."""
-        self.asked += 1
+        """Make a linearizable read through a node."""
+        self.operation_count += 1
         node = self.world.nodes[name]
         began = self.world.now
 
         def settled(found, now):
-            # By now more than the mark may have been applied here; the read
-            # stands right after the last of it.
+            # More entries than the read mark may have been applied by now, so
+            # the read is placed just after the last of them.
             if found.kind is quorum_log.SettledKind.APPLIED:
                 position = node.log.applied + 0.5
-                self.done.append(
+                self.operations.append(
                     linearizable.Operation(
-                        began, now, position, saw=held(node)
+                        began, now, position, saw=register_value(node)
                     )
                 )
             return []
@@ -78,17 +78,17 @@
         self.propose(name, quorum_log_entries.ReadMark(), settled)
 
     def finish(self):
-        """Add the writes without an answer that took effect all the same."""
+        """Add the unanswered writes that did take effect."""
         for operation_id, (began, number, if_match) in self.unanswered.items():
-            position = self.world.at.get(operation_id)
+            position = self.world.applied_at.get(operation_id)
             if position is None:
                 continue
             _, result = msgspec.json.decode(
-                self.world.history[position],
+                self.world.applied_by_version[position],
                 type=tuple[changes.Change, changes.Result],
             )
             accepted = result.kind is changes.ResultKind.ACCEPTED
-            self.done.append(
+            self.operations.append(
                 linearizable.Operation(
                     began,
                     float("inf"),
@@ -101,7 +101,7 @@
 
     def propose(self, name, body, settled):
         out = self.world.nodes[name].log.propose(
-            body, f"p{self.asked}", self.world.now, settled
+            body, f"p{self.operation_count}", self.world.now, settled
         )
         self.world.run_effects(name, out)
 
@@ -113,8 +113,9 @@
     steps=st.lists(st.integers(0, 9), min_size=8, max_size=25),
 )
 def test_writes_and_fresh_reads_are_linearizable(seed, loss, steps):
-    # An operator writes through one instance, is answered, and reads the
-    # old value through another that has not heard of it yet.
+    # Guards against stale reads: an operator writes through one instance, and
+    # after the answer reads the old value through another instance that has
+    # not received the write yet.
     rng = random.Random(seed)
     world = quorum_world.QuorumWorld(rng, spares=0)
     world.run_until(world.leader)
@@ -125,7 +126,7 @@
         if step < 3:
             clients.write(name, None)
         elif step < 5:
-            clients.write(name, held(world.nodes[name])[1])
+            clients.write(name, register_value(world.nodes[name])[1])
         elif step < 8:
             clients.read(name)
         elif step == 8:
@@ -136,12 +137,12 @@
     world.partition({})
     world.run(10.0)
     clients.finish()
-    assert linearizable.fault_in(clients.done) == ""
+    assert linearizable.find_violation(clients.operations) == ""
 
 
-def test_checker_tells_a_stale_read():
+def test_checker_detects_a_stale_read():
     write = linearizable.Operation(0.0, 1.0, 5, wrote="new")
     stale = linearizable.Operation(2.0, 3.0, 4, saw=(None, 0))
     fresh = linearizable.Operation(2.0, 3.0, 6, saw=("new", 5))
-    assert linearizable.fault_in([write, stale])
-    assert not linearizable.fault_in([write, fresh])
+    assert linearizable.find_violation([write, stale])
+    assert not linearizable.find_violation([write, fresh])
--- a/tests/cover/test_quorum_log.py
+++ b/tests/cover/test_quorum_log.py
@@ -1,4 +1,4 @@
-"""The quorum log under loss, partition, crash, lost disks, changed voters."""
+"""Stateful test of the log under message loss, partitions and crashes."""
 
 import hypothesis
 
--- a/tests/cover/test_quorum_rules.py
+++ b/tests/cover/test_quorum_rules.py
@@ -1,4 +1,4 @@
-"""Rules of the quorum log that chance seldom puts to the test."""
+"""Safety rules of the log that random tests rarely exercise."""
 
 import random
 
@@ -18,15 +18,18 @@
 from tests.common import quorum_world
 
 
-def settled_world(**numbers):
-    world = quorum_world.QuorumWorld(random.Random(7), **numbers)
+def started_world(**counts):
+    world = quorum_world.QuorumWorld(random.Random(7), **counts)
     world.run_until(world.leader)
     world.run(3.0)
     return world
 
 
-def hand(world, source, target, message):
-    """Deliver one message and return what the target sends."""
+def deliver(world, source, target, message):
+    """Deliver one message and return the messages that the target sends.
+
+    All pending disk writes of the target are synced first.
+    """
     sender = messages.Sender(source, source, "1", "r1", 1)
     node = world.nodes[target]
     out = node.log.handlers()[type(message)](sender, message, world.now)
@@ -45,7 +48,7 @@
     )
 
 
-def granted(sent):
+def vote_granted(sent):
     return any(
         isinstance(item, log_messages.VoteReply) and item.granted
         for item in sent
@@ -53,37 +56,45 @@
 
 
 def test_does_not_vote_twice_in_a_term_over_a_restart():
-    # Two candidates of one term each get the vote of a keeper that has
-    # restarted in between; both lead, and both accept writes.
-    world = settled_world(spares=0)
+    # If a keeper forgot its vote in a restart, two candidates could both win
+    # the same term with it; both would lead and accept writes.
+    world = started_world(spares=0)
     world.crash("k1")
     world.start("k1")
     log = world.nodes["k1"].log
-    assert granted(hand(world, "k2", "k1", vote_request(log, "k2", 50)))
+    assert vote_granted(
+        deliver(world, "k2", "k1", vote_request(log, "k2", 50))
+    )
     world.crash("k1")
     world.start("k1")
     log = world.nodes["k1"].log
-    assert not granted(hand(world, "k3", "k1", vote_request(log, "k3", 50)))
-    assert granted(hand(world, "k2", "k1", vote_request(log, "k2", 50)))
+    assert not vote_granted(
+        deliver(world, "k3", "k1", vote_request(log, "k3", 50))
+    )
+    assert vote_granted(
+        deliver(world, "k2", "k1", vote_request(log, "k2", 50))
+    )
 
 
-def test_does_not_vote_with_an_empty_folder_for_the_one_lost():
-    # A keeper loses its disk and starts with an empty one.  Had it still a
-    # vote, it could help to elect a leader without what it acknowledged.
-    world = settled_world(spares=0)
+def test_does_not_vote_after_losing_its_disk():
+    # A keeper loses its disk and starts with an empty one.  If it could still
+    # vote, it could help elect a leader that lacks entries which the keeper
+    # had acknowledged.
+    world = started_world(spares=0)
     world.crash("k2")
     world.lose_disk("k2")
     world.start("k2")
     world.run(5.0)
     log = world.nodes["k2"].log
     assert log.status(world.now).role == "learner"
-    assert hand(world, "k1", "k2", vote_request(log, "k1", 50)) == []
+    assert deliver(world, "k1", "k2", vote_request(log, "k1", 50)) == []
 
 
 def test_does_not_change_two_voters_at_once():
-    # The leader is cut off while it takes one voter out.  A second change
-    # on top could have a majority that does not overlap with the first.
-    world = settled_world()
+    # The leader is partitioned while it removes a voter.  A second,
+    # concurrent change could have a majority that does not overlap with that
+    # of the first.
+    world = started_world()
     leader = world.leader()
     first, second = [name for name in world.bootstrap if name != leader]
     world.partition({leader: 1})
@@ -92,33 +103,33 @@
     assert "few seconds" in world.change_voter(remove, second)
 
 
-def test_is_not_ready_behind_one_that_it_can_reach():
-    # A domain is cut off; its diskless instance restarts and gets nothing
-    # from the keeper beside it but how far that one is.
-    world = settled_world(spares=0)
+def test_is_not_ready_while_behind_a_reachable_instance():
+    # A failure domain is partitioned and its diskless instance restarts.  It
+    # receives the progress of the keeper in its domain, but no entries.
+    world = started_world(spares=0)
     world.crash("l1")
     world.partition({"k1": 1, "l1": 1})
     world.start("l1")
-    deliver = world._deliver
+    deliver_all = world._deliver
 
-    def without_entries():
-        world.flying = [
+    def deliver_progress_only():
+        world.in_flight = [
             item
-            for item in world.flying
+            for item in world.in_flight
             if item[0] != "k1" or b'"type":"progress"' in item[2]
         ]
-        deliver()
+        deliver_all()
 
-    world._deliver = without_entries
+    world._deliver = deliver_progress_only
     world.run(12.0)
     assert not world.nodes["l1"].log.ready
-    world._deliver = deliver
+    world._deliver = deliver_all
     world.run_until(lambda: world.nodes["l1"].log.ready)
 
 
 def test_does_not_commit_an_older_term_by_counting():
-    # An entry of an older term is on a majority of disks and may still be
-    # replaced by another leader (Ongaro and Ousterhout, 2014, figure 8).
+    # An entry of an older term that is on a majority of the disks may still
+    # be replaced by another leader (Ongaro and Ousterhout, 2014, figure 8).
     founders = [entries.Voter(f"k{n}", f"k{n}-0") for n in (1, 2, 3)]
     log_id = founding.log_id_of(founders)
     start = machine.Checkpoint(log_id, founders, 0, 0, founders, {})
@@ -139,38 +150,39 @@
             world.now += 0.1
             world.run_effects("k1", log.tick(world.now))
         vote = log_messages.VoteReply(log_id, "k2-0", term, pre, True)
-        hand(world, "k2", "k1", vote)
+        deliver(world, "k2", "k1", vote)
     assert core.role is core_module.Role.LEADER
     reply = log_messages.AppendReply(log_id, "k2-0", 3, True, 1, 0)
-    hand(world, "k2", "k1", reply)
+    deliver(world, "k2", "k1", reply)
     assert log.applied == 0
     reply = log_messages.AppendReply(log_id, "k2-0", 3, True, 2, 0)
-    hand(world, "k2", "k1", reply)
+    deliver(world, "k2", "k1", reply)
     assert log.applied == 2
 
 
 def test_keeper_stops_when_its_log_contradicts_another():
-    # A majority has forgotten what it had acknowledged, and another entry
-    # was committed in its place.  Whoever notices must not vote for it.
-    world = settled_world(spares=0)
+    # A majority has lost entries that it had acknowledged, and others were
+    # committed at the same index.  A keeper that detects this must not vote
+    # or acknowledge any more.
+    world = started_world(spares=0)
     follower = next(n for n in world.bootstrap if n != world.leader())
     log = world.nodes[follower].log
     request = log_messages.AppendRequest(
         log._core.log_id, 90, log.applied, 89, [], log.applied, 1
     )
     with pytest.raises(dandeliontrail.InvariantBroken):
-        hand(world, "k9", follower, request)
+        deliver(world, "k9", follower, request)
     status = log.status(world.now)
     assert status.keeper_stopped
     assert status.role == "learner"
 
 
-def test_keepers_that_restart_together_soon_have_a_leader():
-    # All processes are killed at once and are back within a second.  Waiting
-    # out a full election timeout, nobody could change anything or prove that
-    # its state is recent for two seconds, and callers were refused.  Before,
-    # the median of ten was 1.4 s.
-    took = []
+def test_keepers_that_restart_together_elect_a_leader_quickly():
+    # All processes are killed at once and restart within a second.  When they
+    # waited for a full election timeout, no instance could make a change or
+    # prove that its state was recent for two seconds, and callers were
+    # refused.  The median of ten elections was then 1.4 s.
+    durations = []
     for seed in range(10):
         world = quorum_world.QuorumWorld(random.Random(seed), spares=0)
         world.run_until(world.leader)
@@ -179,14 +191,14 @@
             world.crash(name)
         for name in ("k1", "k2", "k3"):
             world.start(name)
-        began = world.now
+        restarted_at = world.now
         world.run_until(world.leader, 3.0)
-        took.append(world.now - began)
-    assert sorted(took)[5] < 0.8
+        durations.append(world.now - restarted_at)
+    assert sorted(durations)[5] < 0.8
 
 
-def test_a_keeper_that_restarts_alone_deposes_nobody():
-    world = settled_world(spares=0)
+def test_restart_of_one_keeper_does_not_depose_the_leader():
+    world = started_world(spares=0)
     leader = world.leader()
     term = world.nodes[leader].log._core.term
     other = sorted({"k1", "k2", "k3"} - {leader})[0]
--- a/tests/nocover/test_quorum_log_long.py
+++ b/tests/nocover/test_quorum_log_long.py
@@ -1,6 +1,6 @@
-"""The long run of the quorum log's state machine.
+"""The long run of the stateful test of the replicated log.
 
-With ``--hypothesis-seed=N`` it is another run each time.
+Pass a different ``--hypothesis-seed=N`` for a different run.
 """
 
 import hypothesis
@@ -11,8 +11,8 @@
 TestQuorumLogLong.settings = hypothesis.settings(
     max_examples=1000,
     stateful_step_count=40,
-    # Shrinking takes longer than finding; the seed that is printed repeats
-    # the run.
+    # There is no shrinking, since it takes longer than the search; the
+    # printed seed reproduces the run.
     phases=[hypothesis.Phase.explicit, hypothesis.Phase.generate],
     suppress_health_check=list(hypothesis.HealthCheck),
 )
