--- a/packages/dandeliontrail/src/dandeliontrail/components/backend_servers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/backend_servers.py
@@ -1,4 +1,4 @@
-"""The component that knows the backend servers."""
+"""The component that maintains the registry of backend servers."""
 
 from .. import effects
 from .. import events
@@ -8,41 +8,42 @@
 
 
 class BackendServers(interfaces.Component):
-    """Takes in announcements and passes them on to the other instances.
+    """Applies announcements and forwards them to the other instances.
 
-    What changes a server's record goes out as news; all other announcements
-    are handed to :class:`.renewals.Renewals`.
+    An announcement that changes a server's record is forwarded as a record;
+    all others only renew a lease and are passed to
+    :class:`.renewals.Renewals`.
     """
 
     def __init__(self, state, policy, renewals):
         self._state = state
         self._policy = policy
         self._renewals = renewals
-        self._gathered = {}
-        self._pending = []
+        self._batched_names = {}
+        self._pending_effects = []
 
     def handlers(self):
-        """Return the handlers of server events and messages."""
+        """Return the handlers of announcements and of server records."""
         return {
-            events.Announced: self._announced,
-            servers.ServerRecords: self._records,
+            events.Announced: self._handle_announced,
+            servers.ServerRecords: self._handle_records,
         }
 
     def tick(self, now):
-        """Pass on what gathered and forget servers gone for long."""
-        out, self._pending = self._pending, []
+        """Forward the batched records and remove servers gone for long."""
+        out, self._pending_effects = self._pending_effects, []
         for name in self._state.registry.forget(now):
             self._policy.forget_server(name)
             self._state.directory.invalidate()
             fields = {"backend_server": name}
             out.append(effects.Log("info", "backend server forgotten", fields))
-        gathered = self._gathered
-        self._gathered = {}
+        gathered = self._batched_names
+        self._batched_names = {}
         for source, names in gathered.items():
-            out.extend(self._spread(names, now, source))
+            out.extend(self._send_records(names, now, source))
         return out
 
-    def _announced(self, event, now):
+    def _handle_announced(self, event, now):
         announcement = event.announcement
         name = announcement.backend_server
         before = self._content(name)
@@ -52,9 +53,9 @@
         if self._content(name) == before:
             self._renewals.note(name)
             return []
-        return self._pass_on([name], now)
+        return self._forward([name], now)
 
-    def _records(self, source, message, now):
+    def _handle_records(self, source, message, now):
         delay = self._state.members.delay(source, now)
         changed = []
         for record in message.records:
@@ -64,17 +65,17 @@
                 continue
             if self._content(name) != before:
                 changed.append(name)
-        return self._pass_on(changed, now, source.instance)
+        return self._forward(changed, now, source.instance)
 
     def _content(self, name):
         held = self._state.registry.servers.get(name)
         return held.content if held else None
 
-    def _pass_on(self, names, now, source=""):
-        """Spread at once that servers leave, all else at the next tick.
+    def _forward(self, names, now, source=""):
+        """Send records of leaving servers at once, others at the next tick.
 
-        After a full restart thousands of servers are news within a second;
-        gathered, they are a few messages in place of thousands.
+        After a full restart, the records of thousands of servers change
+        within a second.  Batching sends a few messages instead of thousands.
         """
         registry = self._state.registry
         leaving = [
@@ -84,10 +85,10 @@
         ]
         others = [name for name in names if name not in leaving]
         if others:
-            self._gathered.setdefault(source, []).extend(others)
-        return self._spread(leaving, now, source) if leaving else []
+            self._batched_names.setdefault(source, []).extend(others)
+        return self._send_records(leaving, now, source) if leaving else []
 
-    def _spread(self, names, now, source=""):
+    def _send_records(self, names, now, source=""):
         registry = self._state.registry
         records = [
             registry.record_of(name, now)
@@ -110,18 +111,21 @@
         server = registry.servers[announcement.backend_server]
         if before != directory.signature(server.announcement):
             self._state.directory.invalidate()
-            self._pending.append(_line(server.announcement, held is None, age))
+            self._pending_effects.append(
+                _log_effect(server.announcement, held is None, age)
+            )
         if epoch != server.announcement.epoch:
-            # Whoever was at its address before is gone: a request sent over
-            # a connection that is still kept to it may or may not have run.
+            # The process that used this address before has ended.  A request
+            # sent on an idle connection to it may or may not have run, so
+            # these connections are dropped.
             url = server.announcement.url
-            self._pending.append(effects.DropConnections(url))
+            self._pending_effects.append(effects.DropConnections(url))
         self._policy.observe(server, now)
         return True
 
 
-def _line(announcement, is_new, age):
-    """Return the log line of a change in what is known of a server."""
+def _log_effect(announcement, is_new, age):
+    """Return the log effect for a server that is new, changed or leaving."""
     if announcement.leaving:
         text = "backend server leaves"
     elif is_new:
--- a/packages/dandeliontrail/src/dandeliontrail/components/caches.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/caches.py
@@ -1,4 +1,4 @@
-"""The component that follows the engines' prefix caches."""
+"""The component that tracks the prefix caches of engines."""
 
 from .. import effects
 from .. import events
@@ -7,24 +7,24 @@
 
 
 class Caches(interfaces.Component):
-    """Feeds the prefix index and passes cache events on.
+    """Updates the prefix index and forwards cache events.
 
-    An engine publishes to whichever instance the balancer picks, so that
-    each batch goes on to the other instances of the engine's own failure
-    domain: those are the ones that mostly place work there.
+    An engine sends its events to whichever instance the load balancer picks.
+    Each batch is therefore forwarded to the other instances of the engine's
+    failure domain, which place most of the work there.
     """
 
     def __init__(self, state):
         self._state = state
 
     def handlers(self):
-        """Return the handlers of cache events."""
+        """Return the handlers of cache events, from engines and instances."""
         return {
-            events.CacheChanged: self._changed,
-            announcements.CacheEvents: self._from_peer,
+            events.CacheChanged: self._handle_changed,
+            announcements.CacheEvents: self._handle_peer_batch,
         }
 
-    def _changed(self, event, now):
+    def _handle_changed(self, event, now):
         batch = event.batch
         self._state.orders.prefixes.apply(batch.backend_server, batch)
         server = self._state.registry.servers.get(batch.backend_server)
@@ -35,6 +35,6 @@
             if member.failure_domain == domain
         ]
 
-    def _from_peer(self, source, batch, now):
+    def _handle_peer_batch(self, source, batch, now):
         self._state.orders.prefixes.apply(batch.backend_server, batch)
         return []
--- a/packages/dandeliontrail/src/dandeliontrail/components/cluster_view.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/cluster_view.py
@@ -1,31 +1,34 @@
-"""What the policy sees of the other instances, read from the state."""
+"""The view of the other instances that the policy uses."""
 
 from ..decisions import view
 
 
 class StateView(view.ClusterView):
-    """Reads the membership and the usage ledger of this instance."""
+    """Implements the view on this instance's membership and usage ledger."""
 
     def __init__(self, state):
         self._state = state
 
     def instances(self, now):
-        """Return how many instances are alive, this one included."""
+        """Return how many instances are alive, including this one."""
         return 1 + len(self._state.members.alive(now))
 
     def heard_from(self, failure_domain):
-        """Return when an instance of a domain was last heard, in a mesh."""
+        """Return when an instance of a failure domain was last heard from.
+
+        This is known only in a full mesh.
+        """
         return self._state.members.heard_from(failure_domain)
 
     def has_fallen_silent(self, failure_domain, now):
-        """Go by the messages of the instances there."""
+        """Return whether a failure domain has just become silent."""
         return self._state.members.has_fallen_silent(failure_domain, now)
 
     def elsewhere(self, organisation, class_name):
-        """Return what the ledger holds of the other instances."""
+        """Return the usage that the ledger holds for other instances."""
         used = self._state.usage.used_elsewhere(organisation, class_name)
         return view.Used(used.requests, used.prompt_tokens, used.output_tokens)
 
     def today(self, organisation):
-        """Return what the ledger holds of this UTC day."""
+        """Return the tokens that the ledger holds for the current UTC day."""
         return self._state.usage.used_today(organisation).tokens()
--- a/packages/dandeliontrail/src/dandeliontrail/components/configuration.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/configuration.py
@@ -1,8 +1,8 @@
-"""The component that brings accepted changes into force.
+"""The component that replicates and applies configuration changes.
 
-It owns the instance's replica of the quorum log (see
-:mod:`..coordination.quorum_log`) and the declared objects, which are what
-the log's changes amount to.
+It owns this instance's replica of the quorum log (see
+:mod:`..coordination.quorum_log`) and the declared objects, which result from
+applying the log's changes.
 """
 
 import msgspec
@@ -16,27 +16,27 @@
 from ..coordination import quorum_log_messages as messages
 from ..resources import changes
 
-# However many operators watch a change land, the others are asked for
-# their versions this often at the most.
-ASK_INTERVAL = 0.5
+# The other instances are asked for their versions at most this often, however
+# many operators wait for a change to take effect.
+PROGRESS_REQUEST_INTERVAL_SECONDS = 0.5
 
-UNSETTLED = {
+UNSETTLED_RESULTS = {
     quorum_log.SettledKind.NOT_RUN: changes.Result(
         changes.ResultKind.NO_QUORUM,
-        message="No leader of the keepers can be reached; nothing was done.",
+        message="No leader of the keepers is reachable; nothing was done.",
         remedy="send it again later, or through an instance that reaches a"
         " majority of keepers",
     ),
     quorum_log.SettledKind.UNKNOWN: changes.Result(
         changes.ResultKind.UNKNOWN,
-        message="No answer came in time; the change may yet take effect.",
+        message="No answer arrived in time; the change may still take effect.",
         remedy="resend with the same Operation-Id",
     ),
 }
 
 
 class ChangeApplier(machine.Applier):
-    """Applies changes of the declared objects."""
+    """Applies log entries that change the declared objects."""
 
     result_type = changes.Result
 
@@ -55,30 +55,33 @@
         return msgspec.json.encode(self._store.dump())
 
     def load(self, state):
-        """Take over all objects."""
+        """Replace all objects by those of a snapshot."""
         self._store.load(state)
         self._directory.invalidate()
 
 
 class ReadMarkApplier(machine.Applier):
-    """Applies read marks, which have no state."""
+    """Applies read marks, which change no state.
+
+    An instance that has applied a read mark has all changes before it.
+    """
 
     result_type = changes.Result
 
     def apply(self, version, entry):
-        """Return where the mark stands."""
+        """Return the log position of the read mark."""
         return changes.Result(changes.ResultKind.ACCEPTED, version)
 
     def dump(self):
-        """Return no state."""
+        """Return an empty snapshot."""
         return b"null"
 
     def load(self, state):
-        """Take over nothing."""
+        """Ignore the snapshot: there is no state."""
 
 
 class Configuration(interfaces.Component):
-    """Proposes operators' writes and answers with their results."""
+    """Proposes operators' reads and writes, and answers with their results."""
 
     def __init__(self, state):
         self._state = state
@@ -86,45 +89,45 @@
         state.log.register(changes.Change, applier)
         state.log.register(entries.ReadMark, ReadMarkApplier())
         self._log_handlers = state.log.handlers()
-        self._next_ask = float("-inf")
+        self._next_progress_request = float("-inf")
 
     def handlers(self):
-        """Return the handlers of writes, of the disk and of the log."""
+        """Return the handlers of operators' requests, the disk and the log."""
         return {
-            events.WriteSubmitted: self._write,
-            events.ReadSubmitted: self._read,
-            events.LogSynced: self._synced,
-            events.StorageFailed: self._storage_failed,
-            events.VoterChangeAsked: self._change_voter,
-            events.InForceAsked: self._ask_in_force,
+            events.WriteSubmitted: self._handle_write,
+            events.ReadSubmitted: self._handle_read,
+            events.LogSynced: self._handle_synced,
+            events.StorageFailed: self._handle_storage_failed,
+            events.VoterChangeAsked: self._handle_voter_change,
+            events.InForceAsked: self._request_progress,
             **self._log_handlers,
-            messages.Progress: self._progress,
+            messages.Progress: self._handle_progress,
         }
 
     def tick(self, now):
-        """Keep the log going."""
+        """Advance the quorum log."""
         return self._state.log.tick(now)
 
-    def _write(self, event, now):
+    def _handle_write(self, event, now):
         change = event.change
         operation_id = change.operation_id or event.write_id
         settled = answer_to(event.write_id)
         return self._state.log.propose(change, operation_id, now, settled)
 
-    def _read(self, event, now):
+    def _handle_read(self, event, now):
         settled = answer_to(event.read_id)
         mark = entries.ReadMark()
         return self._state.log.propose(mark, event.read_id, now, settled)
 
-    def _change_voter(self, event, now):
+    def _handle_voter_change(self, event, now):
         return self._state.log.change_voter(
             event.action, event.name, event.request_id, now
         )
 
-    def _ask_in_force(self, event, now):
-        if now < self._next_ask:
+    def _request_progress(self, event, now):
+        if now < self._next_progress_request:
             return []
-        self._next_ask = now + ASK_INTERVAL
+        self._next_progress_request = now + PROGRESS_REQUEST_INTERVAL_SECONDS
         question = self._state.log.question(now)
         return [
             effects.SendPeer(member.address, question)
@@ -132,24 +135,24 @@
             if member.applied < event.version
         ]
 
-    def _progress(self, source, message, now):
+    def _handle_progress(self, source, message, now):
         member = self._state.members.members.get(source.instance)
         if member is not None:
             member.applied = max(member.applied, message.applied)
         return self._log_handlers[messages.Progress](source, message, now)
 
-    def _synced(self, event, now):
+    def _handle_synced(self, event, now):
         return self._state.log.synced(event.ticket, now)
 
-    def _storage_failed(self, event, now):
+    def _handle_storage_failed(self, event, now):
         return self._state.log.storage_failed(event.detail, now)
 
 
 def answer_to(write_id):
-    """Return the call that answers whoever waits under ``write_id``."""
+    """Return a callback that answers the request ``write_id``."""
 
-    def settled(found, now):
-        result = UNSETTLED.get(found.kind, found.result)
+    def settled(outcome, now):
+        result = UNSETTLED_RESULTS.get(outcome.kind, outcome.result)
         return [effects.WriteAnswered(write_id, result)]
 
     return settled
--- a/packages/dandeliontrail/src/dandeliontrail/components/download_slots.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/download_slots.py
@@ -1,10 +1,10 @@
-"""The holder's side of the weight store's budget.
+"""How the holder of orders manages the download slots of the weight store.
 
-A slot belongs to a load from before the order is given until the load is
-over, as far as anybody can tell.  An engine that falls silent may go on
-downloading for minutes, so its slot is kept until the engine shows the
-model, shows that it was restarted, or the longest load is over: giving it
-back at once would overload the store just when engines come and go.
+A load holds a slot from before its order is sent until the load is known or
+presumed to be over.  An engine that becomes silent may continue to download
+for minutes.  Its slot is therefore kept until the engine reports the model,
+reports that it was restarted, or the maximum duration of a load has passed.
+Releasing it at once would overload the store just when engines come and go.
 """
 
 import msgspec
@@ -13,21 +13,22 @@
 from ..decisions import model_orders
 from . import placements
 
-# A slot or a place in the line is asked for again after this long.
-ASK_AGAIN = 5.0
+# A request for a slot, or for a place in the queue, is repeated after this
+# time.
+REQUEST_RETRY_SECONDS = 5.0
 
 
-class _Slot(msgspec.Struct):
-    """A slot that was asked for at ``asked_at``."""
+class _SlotRequest(msgspec.Struct):
+    """A request for a slot, made at ``asked_at``."""
 
     asked_at: float
     granted: bool = False
 
 
 class DownloadSlots:
-    """Asks for slots, knows which are granted, and gives them back.
+    """Requests slots, tracks which are granted, and releases them.
 
-    ``propose(entry, now, answered)`` puts an entry into the quorum log.
+    ``propose(entry, now, answered)`` proposes an entry to the quorum log.
     """
 
     def __init__(self, failure_domain, table, propose, budget):
@@ -36,24 +37,24 @@
         self._propose = propose
         self._budget = budget
         self._slots = {}
-        self._silent = {}
+        self._lost_loads = {}
 
     def clear(self):
-        """Forget all; what the log holds is found there again."""
+        """Clear this state; slots that are in use remain in the log."""
         self._slots.clear()
-        self._silent.clear()
+        self._lost_loads.clear()
 
     def knows(self, key):
-        """Tell whether this holder asked for the slot or watches it."""
-        return key in self._slots or key in self._silent
+        """Return whether this holder requested the slot or keeps it."""
+        return key in self._slots or key in self._lost_loads
 
     def granted(self, order):
-        """Tell whether the load may be ordered."""
+        """Return whether the slot of a load was granted."""
         slot = self._slots.get(order.key)
         return slot is not None and slot.granted
 
-    def of_predecessors(self):
-        """Return the slots in use that this holder knows nothing of."""
+    def predecessors_slots(self):
+        """Return the domain's slots that this holder did not request."""
         return [
             slot
             for slot in self._table.held_by(self._failure_domain)
@@ -61,11 +62,11 @@
         ]
 
     def ask(self, order, fencing, protected, now):
-        """Ask for a slot, unless that was done just now."""
+        """Request a slot, at most once per ``REQUEST_RETRY_SECONDS``."""
         slot = self._slots.get(order.key)
-        if slot and now - slot.asked_at < ASK_AGAIN:
+        if slot and now - slot.asked_at < REQUEST_RETRY_SECONDS:
             return []
-        slot = _Slot(now)
+        slot = _SlotRequest(now)
         self._slots[order.key] = slot
         entry = downloads.DownloadEntry(
             downloads.DownloadStep.ASK,
@@ -84,31 +85,31 @@
         return self._propose(entry, now, answered)
 
     def give_back(self, key, fencing, now):
-        """Free the slot, or the place in the line, of a load."""
+        """Release the slot, or the place in the queue, of a load."""
         self._slots.pop(key, None)
-        self._silent.pop(key, None)
+        self._lost_loads.pop(key, None)
         entry = downloads.DownloadEntry(
             downloads.DownloadStep.DONE, self._failure_domain, fencing, key
         )
-        return self._propose(entry, now, _ignore)
+        return self._propose(entry, now, _no_effects)
 
-    def watch(self, item):
-        """Keep the slot of a load whose engine fell silent."""
+    def keep_for_lost_load(self, item):
+        """Keep the slot of a load whose engine became silent."""
         self._slots.pop(item.order.key, None)
-        self._silent[item.order.key] = item
+        self._lost_loads[item.order.key] = item
 
     def settle(self, engines, now):
-        """Give back the slots of silent engines that are over."""
+        """Release the slots of silent engines whose loads are over."""
         out = []
-        for key, item in list(self._silent.items()):
+        for key, item in list(self._lost_loads.items()):
             if is_over(item, engines, now):
                 out.extend(self.give_back(key, item.fencing, now))
         return out
 
     def drop_unplanned(self, planned, fencing, now):
-        """Leave the line for loads that are no longer wanted.
+        """Release the slots and queue places of loads no longer wanted.
 
-        A place left behind would keep those after it waiting for good.
+        An abandoned place would block the queue behind it forever.
         """
         out = []
         for key in [key for key in self._slots if key not in planned]:
@@ -117,14 +118,14 @@
 
 
 def is_over(item, engines, now):
-    """Tell whether a load is over for sure, or for all that is known."""
+    """Return whether a load is known or presumed to be over."""
     announcement = engines.get(item.order.server)
     if announcement and 0 <= item.epoch < announcement.epoch:
         return True
-    if placements.is_seen(item.order, engines):
+    if placements.is_fulfilled(item.order, engines):
         return True
     return now - item.given_at > model_orders.LONGEST_LOAD
 
 
-def _ignore(settled, now):
+def _no_effects(settled, now):
     return []
--- a/packages/dandeliontrail/src/dandeliontrail/components/duties.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/duties.py
@@ -1,14 +1,21 @@
 """The component that calls the platform, on one keeper at a time.
 
-Who that is, the quorum log decides (:mod:`..coordination.leases`): a keeper
-that holds the lease keeps it while it is heard of, and after it the leader
-of the log takes over.  The lease is renewed only where there is something to
-do, so that an idle system writes nothing to the log.
-
-Guards: two holders that act against each other or by turns (the lease, its
-wait and its fencing number), a call that was lost (made again), a platform
-that only some keepers reach (the lease is handed over).  What is called, and
-when, is for the parts: :mod:`.window_decisions` and :mod:`.server_orders`.
+The calls to the platform are its *duties*.  Only the keeper that holds the
+lease for them makes them; the quorum log decides which keeper that is
+(:mod:`..coordination.leases`).  A holder keeps the lease as long as it is
+heard from; otherwise the leader of the log takes over.  The lease is renewed
+only when there is a call to make, so that an idle system writes nothing to
+the log.
+
+It guards against these failures:
+
+- Two holders that contradict each other or alternate: the lease, the wait of
+  a new holder and the fencing number prevent it.
+- A lost call: it is repeated.
+- A platform that only some keepers can reach: the lease is handed over.
+
+Which calls are made, and when, is decided by the schedulers in
+:mod:`.window_decisions` and :mod:`.server_orders`.
 """
 
 from .. import effects
@@ -22,22 +29,23 @@
 from . import server_orders
 from . import window_decisions
 
-# A call without an answer is made again after this long.
-REPEAT_AFTER = 0.5
-# What the platform refuses may be had later: servers of a kind of which there
-# are none at the moment.
-REFUSED_REPEAT_AFTER = 2.0
-# After so long without any answer another keeper may reach the platform.
-HAND_OVER_AFTER = 3.0
-# The leader takes over from a holder that was not heard of for this long.
-# Two heartbeats a second and more come from a keeper that is well.
-HOLDER_SILENT_AFTER = 2.0
+# A call without an answer is repeated after this time.
+NO_ANSWER_RETRY_SECONDS = 0.5
+# A refused call is repeated after this time.  The platform may accept it
+# later, for example once servers of a kind are available again.
+REFUSED_RETRY_SECONDS = 2.0
+# After this time without any answer, the lease is handed to another keeper,
+# which may be able to reach the platform.
+HAND_OVER_AFTER_SECONDS = 3.0
+# The leader takes over from a holder that was not heard from for this long.
+# A healthy keeper sends at least two heartbeats per second.
+HOLDER_SILENT_AFTER_SECONDS = 2.0
 LEFT = member_records.Standing.LEFT
 Answer = events.DutyAnswer
 
 
 class Duties(interfaces.Component):
-    """Holds the lease and makes the calls of its parts."""
+    """Holds the lease and makes the calls that its schedulers request."""
 
     def __init__(self, state):
         self._state = state
@@ -46,183 +54,187 @@
         self._lease = state.duties.lease
         self._proposer = proposer.Proposer(state, "duties")
         self._propose = self._proposer.propose
-        self._calling = False
+        self._call_in_flight = False
         self._unanswered_since = None
-        self._seen = None
-        self._leads_since = None
+        self._logged_fencing = None
+        self._leader_since = None
         self._windows = window_decisions.WindowDecisions(state, self._propose)
         self._servers = server_orders.ServerOrders(state, self._propose)
-        # Reports have a time by which they are due, so they go first.
-        self._parts = {
+        # Usage reports have a deadline, so they go first.
+        self._schedulers = {
             effects.ReportUsage: self._windows,
             effects.SetServerCount: self._servers,
         }
         duties_state.register(state.log, state.duties)
 
     def handlers(self):
-        """Return the handlers of reports and of the platform's answers."""
+        """Return the handlers of usage reports and platform answers."""
         return {
-            events.DutyAnswered: self._answered,
-            usage_windows.WindowReport: self._told,
+            events.DutyAnswered: self._handle_answer,
+            usage_windows.WindowReport: self._handle_window_report,
         }
 
     def tick(self, now):
-        """Do what is due, where this instance is the one to do it."""
+        """Make the calls that are due if this instance should make them."""
         self._servers.lives(now)
         own = self._state.identity.instance
         if not self._options.any or not self._is_keeper(own):
             return []
-        self._note_leading(now)
-        out = self._follow_holding()
-        if not self._is_ours(now):
+        self._track_leadership(now)
+        out = self._log_new_holder()
+        if not self._should_act(now):
             return out
-        if not self._holds():
-            return out + self._renew(now)
-        for part in self._parts.values():
-            out.extend(part.tick(now))
-        call = self._next(now)
+        if not self._is_holder():
+            return out + self._renew_lease(now)
+        for scheduler in self._schedulers.values():
+            out.extend(scheduler.tick(now))
+        call = self._next_call(now)
         if call is not None:
-            out.extend(self._renew(now))
+            out.extend(self._renew_lease(now))
             if self._may_call(now):
-                out.append(self._perform(call))
+                out.append(self._start_call(call))
         return out
 
-    def _told(self, source, message, now):
-        if self._holds():
-            self._windows.told(message)
+    def _handle_window_report(self, source, message, now):
+        if self._is_holder():
+            self._windows.add_report(message)
         return []
 
-    # -- who acts ---------------------------------------------------------
+    # -- the holder -------------------------------------------------------
 
     def _is_keeper(self, name):
         return name in self._log.voter_names()
 
-    def _holding(self):
+    def _current_holding(self):
         return self._state.orders.leases.holding(duties_state.SUBJECT)
 
-    def _holds(self):
-        """Tell whether the log names this start of this instance."""
+    def _is_holder(self):
+        """Return whether this incarnation of this instance holds the lease."""
         own = self._state.identity
-        holding = self._holding()
+        holding = self._current_holding()
         return (
             holding.holder == own.instance
             and holding.incarnation == own.incarnation
         )
 
-    def _is_ours(self, now):
-        """Tell whether this instance should act, or ask to."""
+    def _should_act(self, now):
+        """Return whether this instance should act or ask for the lease."""
         if self._log.stale(now) or not self._log.ready:
             return False
         own = self._state.identity.instance
-        holder = self._holding().holder
+        holder = self._current_holding().holder
         if holder == own:
             return True
-        return self._leads_since is not None and self._is_gone(holder, now)
+        return self._leader_since is not None and self._is_lost(holder, now)
 
-    def _note_leading(self, now):
+    def _track_leadership(self, now):
         own = self._state.identity.instance
         if self._log.leader(now) != own:
-            self._leads_since = None
-        elif self._leads_since is None:
-            self._leads_since = now
+            self._leader_since = None
+        elif self._leader_since is None:
+            self._leader_since = now
 
-    def _is_gone(self, holder, now):
-        """Tell whether a holder is no keeper or not heard of by the leader.
+    def _is_lost(self, holder, now):
+        """Return whether the leader should replace a holder.
 
-        One that is a keeper no more may be well, and does not act.  Keepers
-        hear of one another through the log's messages, which go between the
-        leader and each other one: who has just begun to lead has heard
-        nothing of the holder yet.
+        This is so when the holder is no longer a keeper or is silent.  A
+        former keeper may be healthy, but does not act.  Keepers hear from
+        one another through the log's messages, which go only between the
+        leader and each other keeper.  A new leader has therefore not heard
+        from the holder yet, and counts silence from its own election.
         """
         member = self._state.members.members.get(holder)
         if member is None or member.standing is LEFT:
             return True
         if not self._is_keeper(holder):
             return True
-        heard = max(member.heard, self._leads_since)
-        return now - heard >= HOLDER_SILENT_AFTER
+        heard = max(member.heard, self._leader_since)
+        return now - heard >= HOLDER_SILENT_AFTER_SECONDS
 
-    def _follow_holding(self):
-        """Log a new holder, and drop what only the one before may do."""
-        holding = self._holding()
+    def _log_new_holder(self):
+        """Log a change of holder and give up a superseded lease."""
+        holding = self._current_holding()
         self._lease.superseded(holding)
-        if holding.fencing == self._seen:
+        if holding.fencing == self._logged_fencing:
             return []
-        self._seen = holding.fencing
+        self._logged_fencing = holding.fencing
         fields = {
             "holder": holding.holder,
             "fencing": holding.fencing,
-            "own": self._holds(),
+            "own": self._is_holder(),
         }
         return [effects.Log("info", "platform duties are held", fields)]
 
-    def _renew(self, now):
+    def _renew_lease(self, now):
         return self._proposer.renew(
-            self._lease, self._holding(), now, self._leased
+            self._lease,
+            self._current_holding(),
+            now,
+            self._handle_lease_result,
         )
 
-    def _leased(self, settled, now):
+    def _handle_lease_result(self, settled, now):
         self._lease.answered(settled.result, now)
         return []
 
     def _may_call(self, now):
-        return not self._calling and self._lease.may_order(
+        return not self._call_in_flight and self._lease.may_order(
             self._options.checks_fencing, now
         )
 
     # -- calls ------------------------------------------------------------
 
-    def _next(self, now):
+    def _next_call(self, now):
         """Return the call that is due, or ``None``."""
-        for part in self._parts.values():
-            call = part.next(now)
+        for scheduler in self._schedulers.values():
+            call = scheduler.next_call(now)
             if call is not None:
                 return call
         return None
 
-    def _perform(self, call):
-        self._calling = True
+    def _start_call(self, call):
+        self._call_in_flight = True
         return effects.PerformDuty(call, self._lease.grant.fencing)
 
-    def _answered(self, event, now):
-        self._calling = False
+    def _handle_answer(self, event, now):
+        self._call_in_flight = False
         call = event.call
-        part = self._parts[type(call)]
+        scheduler = self._schedulers[type(call)]
         fields = {
             "fencing": event.fencing,
             "answer": event.answer.value,
             "detail": event.detail,
-            **part.fields(call),
+            **scheduler.log_fields(call),
         }
         if event.answer is Answer.TAKEN:
             self._unanswered_since = None
-            part.took(call, now)
+            scheduler.record_accepted(call, now)
             return [effects.Log("info", "platform called", fields)]
         if event.answer is Answer.REFUSED:
             self._unanswered_since = None
-            part.put_off(call, now + REFUSED_REPEAT_AFTER)
+            scheduler.retry_at(call, now + REFUSED_RETRY_SECONDS)
             return [effects.Log("warning", "platform refused a call", fields)]
-        part.put_off(call, now + REPEAT_AFTER)
+        scheduler.retry_at(call, now + NO_ANSWER_RETRY_SECONDS)
         out = [effects.Log("warning", "platform not reached", fields)]
         if event.answer is Answer.NO_ANSWER:
-            out.extend(self._note_unanswered(now))
+            out.extend(self._hand_over_if_unreachable(now))
         return out
 
-    def _note_unanswered(self, now):
-        """Hand the lease to another keeper after a while without answers."""
+    def _hand_over_if_unreachable(self, now):
+        """Hand the lease over after ``HAND_OVER_AFTER_SECONDS`` unanswered."""
         if self._unanswered_since is None:
             self._unanswered_since = now
-        if now - self._unanswered_since < HAND_OVER_AFTER:
+        if now - self._unanswered_since < HAND_OVER_AFTER_SECONDS:
             return []
         self._unanswered_since = None
-        successor = self._successor(now)
-        if successor is None or not self._holds():
+        successor = self._choose_successor(now)
+        if successor is None or not self._is_holder():
             return []
         request = leases.LeaseRequest(
             duties_state.SUBJECT,
             successor.instance,
             successor.incarnation,
-            self._holding().fencing,
+            self._current_holding().fencing,
         )
         fields = {"to": successor.instance, "fencing": request.replaces}
         return [
@@ -230,17 +242,17 @@
             *self._propose(request, now, _no_effects),
         ]
 
-    def _successor(self, now):
-        """Return a keeper in another failure domain, if there is any."""
+    def _choose_successor(self, now):
+        """Return a live keeper, preferably in another failure domain."""
         keepers = self._log.voter_names()
-        found = [
+        candidates = [
             member
             for member in self._state.members.alive(now)
             if member.instance in keepers
         ]
         domain = self._state.identity.failure_domain
-        found.sort(key=lambda item: item.failure_domain == domain)
-        return found[0] if found else None
+        candidates.sort(key=lambda item: item.failure_domain == domain)
+        return candidates[0] if candidates else None
 
 
 def _no_effects(settled, now):
--- a/packages/dandeliontrail/src/dandeliontrail/components/duties_state.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/duties_state.py
@@ -1,4 +1,4 @@
-"""What is known about calls to the platform, and the log entries behind it."""
+"""State of the calls to the platform, and how log entries update it."""
 
 import msgspec
 
@@ -9,22 +9,22 @@
 from ..coordination import usage_windows
 from . import orders_state
 
-# For a platform that is told nothing of its own: calls of a second, and no two
-# holders that act by turns within three.
-TERMS = leases.LeaseTerms(1.5, 1.0, 3.0, by_keepers=True)
-# The subject of the one lease over all calls to the platform; a failure
-# domain, which is a subject too, has no such name.
+# The lease terms if none are configured: a call takes at most one second, and
+# holders do not alternate within three seconds.
+DEFAULT_TERMS = leases.LeaseTerms(1.5, 1.0, 3.0, by_keepers=True)
+# The subject of the single lease for all calls to the platform.  The other
+# subjects are failure domains, which cannot have this name.
 SUBJECT = "/platform"
 
 
 class DutyOptions(msgspec.Struct, frozen=True):
-    """What the platform asks of whoever calls it.
+    """Which calls the platform expects, and their timing.
 
-    ``window`` is the length of a window of usage and ``late`` how long after
-    its end its counts are due, both in seconds; without ``reports_usage``
-    none are told, without ``orders_servers`` the number of servers is left
-    alone.  ``terms`` are those of the lease, ``checks_fencing`` tells that
-    the platform refuses a number below the greatest that it saw.
+    ``reports_usage`` enables usage reports.  ``window`` is the length of a
+    usage window, and its counts are due ``late`` after its end, both in
+    seconds.  ``orders_servers`` enables orders of the number of servers.
+    ``checks_fencing`` means that the platform refuses a fencing number below
+    the greatest one that it has seen.  ``terms`` are the terms of the lease.
     """
 
     reports_usage: bool = False
@@ -32,19 +32,20 @@
     window: float = 60.0
     late: float = 120.0
     checks_fencing: bool = False
-    terms: leases.LeaseTerms = TERMS
+    terms: leases.LeaseTerms = DEFAULT_TERMS
 
     @property
     def any(self):
-        """Tell whether the platform is called at all."""
+        """Whether the platform is called at all."""
         return self.reports_usage or self.orders_servers
 
 
 class DutiesState(msgspec.Struct):
-    """Owned by the duties component, but for ``counter``.
+    """The state of the calls to the platform.
 
-    The usage windows component owns that; the request component counts
-    into it.
+    It is written only by the duties component, except for ``counter`` and
+    ``clock``: the usage windows component owns these, and the request
+    component counts into ``counter``.
     """
 
     options: DutyOptions
@@ -56,7 +57,7 @@
 
 
 def new_duties_state(identity, options=DutyOptions()):
-    """Return the state of an instance that has seen nothing yet."""
+    """Return the initial state of an instance."""
     return DutiesState(
         options,
         leases.LeaseHolder(identity, SUBJECT, options.terms),
@@ -68,13 +69,13 @@
 
 
 def report_of(identity, through, windows):
-    """Return what an instance tells of its ``windows`` up to ``through``."""
+    """Return an instance's report of ``windows``, complete to ``through``."""
     publisher = usage.Publisher(identity.instance, identity.incarnation)
     return usage_windows.WindowReport(publisher, through, windows)
 
 
 def register(log, state):
-    """Have the log's entries about duties applied to ``state``."""
+    """Register the appliers of the log's entries about duties."""
     decided = orders_state.TableApplier(
         state.decided, usage_windows.WindowResult
     )
--- a/packages/dandeliontrail/src/dandeliontrail/components/duty_part.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/duty_part.py
@@ -1,30 +1,30 @@
-"""What each kind of call to the platform brings along."""
+"""The interface of what decides which calls to the platform are due."""
 
 import abc
 
 
-class DutyPart(abc.ABC):
-    """One kind of call: when it is due, and what is known of its answers.
+class CallScheduler(abc.ABC):
+    """Schedules one kind of call to the platform and records its answers.
 
-    Only the holder of the lease asks it.
+    Only the holder of the lease uses it.
     """
 
     @abc.abstractmethod
     def tick(self, now):
-        """Return the effects of what is to be decided at ``now``."""
+        """Return the effects of the decisions that are due at ``now``."""
 
     @abc.abstractmethod
-    def next(self, now):
+    def next_call(self, now):
         """Return the call that is due, or ``None``."""
 
     @abc.abstractmethod
-    def took(self, call, now):
-        """Take note that the platform has taken a call."""
+    def record_accepted(self, call, now):
+        """Record that the platform accepted a call."""
 
     @abc.abstractmethod
-    def put_off(self, call, until):
-        """Make a call again at ``until``."""
+    def retry_at(self, call, until):
+        """Have a call repeated, not before ``until``."""
 
     @abc.abstractmethod
-    def fields(self, call):
-        """Return what the log says of a call."""
+    def log_fields(self, call):
+        """Return the fields that a log line about a call contains."""
--- a/packages/dandeliontrail/src/dandeliontrail/components/orders_state.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/orders_state.py
@@ -1,4 +1,4 @@
-"""What is known about orders to engines, and the log entries behind it."""
+"""State of the orders to engines, and how log entries are applied to it."""
 
 import msgspec
 
@@ -9,7 +9,7 @@
 
 
 class TableApplier(machine.Applier):
-    """Applies one kind of entry to a table with a snapshot of its own."""
+    """Applies one kind of log entry to a table that has its own snapshot."""
 
     def __init__(self, table, result_type):
         self._table = table
@@ -29,11 +29,12 @@
 
 
 class OrdersState(msgspec.Struct):
-    """Owned by the orders component; others only read it.
+    """The state of orders, written by the orders component.
 
-    ``attainment`` counts, by ``(model, version)``, how often the requests
-    that this instance relayed met their class's targets; the request
-    component fills it in.
+    Two fields are written by others.  The caches component updates
+    ``prefixes``.  The request component updates ``attainment``, which counts,
+    by ``(model, version)``, how often the requests that this instance relayed
+    met the targets of their class.
     """
 
     lease: leases.LeaseHolder
@@ -45,7 +46,7 @@
 
 
 def new_orders_state(identity):
-    """Return the state of an instance that has seen nothing yet."""
+    """Return the initial state of an instance."""
     return OrdersState(
         leases.LeaseHolder(identity),
         leases.LeaseTable(),
@@ -55,8 +56,8 @@
 
 
 def register(log, state):
-    """Have the log's lease and download entries applied to ``state``."""
-    leased = TableApplier(state.leases, leases.LeaseResult)
-    log.register(leases.LeaseRequest, leased)
-    slots = TableApplier(state.downloads, downloads.DownloadResult)
-    log.register(downloads.DownloadEntry, slots)
+    """Register the appliers of the log's lease and download entries."""
+    lease_applier = TableApplier(state.leases, leases.LeaseResult)
+    log.register(leases.LeaseRequest, lease_applier)
+    download_applier = TableApplier(state.downloads, downloads.DownloadResult)
+    log.register(downloads.DownloadEntry, download_applier)
--- a/packages/dandeliontrail/src/dandeliontrail/components/placements.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/placements.py
@@ -1,4 +1,4 @@
-"""What the declared placements mean for one failure domain."""
+"""Evaluates the declared model placements for one failure domain."""
 
 from ..decisions import directory as directory_module
 from ..decisions import model_orders
@@ -9,7 +9,7 @@
 
 
 def local_engines(state, now):
-    """Return the announcements of this failure domain's serving engines."""
+    """Return the announcements of this domain's serving engines, by name."""
     domain = state.identity.failure_domain
     return {
         server.announcement.backend_server: server.announcement
@@ -26,7 +26,7 @@
         model_orders.Wanted(
             name,
             placements[name].spec,
-            _allowed(state, placements[name].spec, engines),
+            _allowed_engines(state, placements[name].spec, engines),
             _is_protected(state, placements[name].spec),
             _in_use(placements[name].spec.model, engines, used_models),
         )
@@ -34,12 +34,12 @@
     ]
 
 
-def _allowed(state, spec, engines):
+def _allowed_engines(state, spec, engines):
     pool = state.store.spec(specs.Kind.BACKEND_POOLS, spec.pool)
     if pool is None:
         return sorted(engines)
-    # A pool that selects by model would never contain the engine that is
-    # to load it, so that only its other fields count here.
+    # A pool that selects by model would never contain an engine that has yet
+    # to load the model, so only its other fields are used here.
     select = specs.Select(
         pool.select.kind,
         "",
@@ -55,7 +55,7 @@
 
 
 def _is_protected(state, spec):
-    """Tell whether a class of the highest priority uses the placement."""
+    """Return whether a class of the highest priority uses a placement."""
     classes = state.store.objects[specs.Kind.REQUEST_CLASSES]
     return any(
         resource.spec.priority == PROTECTED_PRIORITY
@@ -65,10 +65,10 @@
 
 
 def _in_use(model, engines, used_models):
-    """Tell whether anybody asks for a model.
+    """Return whether a model is in use.
 
-    Other instances' requests are seen through the engines' own reports: an
-    engine at work that holds the model may be at work on it.
+    Requests that other instances relay are visible only in the loads that
+    engines report: a busy engine that holds the model may be serving it.
     """
     if model in used_models:
         return True
@@ -80,25 +80,25 @@
 
 
 def checks_fencing(state, announcement):
-    """Tell whether an engine refuses orders with an old fencing number.
+    """Return whether an engine refuses orders with an old fencing number.
 
-    What the operators say of its pools goes before its own word.
+    The operators' settings for its pools override its own announcement.
     """
     pools = state.store.objects[specs.Kind.BACKEND_POOLS]
-    said = [
+    declared = [
         resource.spec.checks_fencing
         for resource in pools.values()
         if resource.spec.checks_fencing is not None
         and directory_module.pool_has(resource.spec.select, announcement)
     ]
-    if said:
-        # Pools that disagree are taken at the cautious word.
-        return all(said)
+    if declared:
+        # If pools disagree, assume the safe case: it does not check.
+        return all(declared)
     return announcement.checks_fencing
 
 
-def is_seen(order, engines):
-    """Tell whether the engine reports what ``order`` asked for."""
+def is_fulfilled(order, engines):
+    """Return whether the engine reports the state that ``order`` names."""
     announcement = engines.get(order.server)
     if announcement is None:
         return False
--- a/packages/dandeliontrail/src/dandeliontrail/components/proposer.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/proposer.py
@@ -1,12 +1,13 @@
-"""What a component of one instance puts into the quorum log."""
+"""Proposes a component's entries to the quorum log."""
 
 
 class Proposer:
-    """Proposes entries, each under an id of its own.
+    """Proposes entries, each under a unique id.
 
-    A lease that is asked for again is a new request with a new start of its
-    time, and an entry of a restarted instance is not one from before: no two
-    of them may share an id, by which the log tells repetitions.
+    The log detects repetitions by their id.  A lease renewal is a new request
+    whose time starts anew, and an entry of a restarted instance is no
+    repetition of an earlier one.  Ids therefore contain the component's name,
+    the instance, its incarnation and a counter.
     """
 
     __slots__ = ("_log", "_prefix", "_count")
@@ -18,13 +19,13 @@
         self._count = 0
 
     def propose(self, entry, now, settled):
-        """Put ``entry`` into the log; ``settled`` hears how it ended."""
+        """Propose ``entry``; ``settled`` is called with the outcome."""
         self._count += 1
         proposal_id = f"{self._prefix}/{self._count}"
         return self._log.propose(entry, proposal_id, now, settled)
 
     def renew(self, lease, holding, now, settled):
-        """Ask for a lease, where it is time to and nothing was asked yet."""
+        """Request a lease if renewal is due and no request is pending."""
         if lease.asking() or not lease.renewal_due(now):
             return []
         return self.propose(lease.ask(holding, now), now, settled)
--- a/packages/dandeliontrail/src/dandeliontrail/components/repair.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/repair.py
@@ -1,6 +1,8 @@
-"""The component that repairs what news has missed.
+"""The anti-entropy component, which repairs differences between replicas.
 
-See :mod:`..coordination.dissemination` for the messages.
+Updates are broadcast and may be lost.  This component compares the digests of
+the tables with those of other instances and exchanges the records that
+differ.  The messages are in :mod:`..coordination.dissemination`.
 """
 
 from .. import effects
@@ -13,24 +15,24 @@
 from ..coordination import servers
 
 Table = dissemination.Table
-# Between two comparisons of one table with the same instance, in seconds.
-PAUSE = 0.9
+# The minimum time between two comparisons of a table with one instance.
+COMPARE_INTERVAL_SECONDS = 0.9
 
 
 class Repair(interfaces.Component):
-    """Compares tables with other instances and fetches what differs."""
+    """Compares tables with other instances and exchanges differing records."""
 
     def __init__(self, state):
         self._state = state
-        self._compared = {}
+        self._compared_at = {}
 
     def handlers(self):
-        """Return the handlers of the messages of anti-entropy."""
+        """Return the handlers of the anti-entropy messages."""
         return {
-            messages.Heartbeat: self._heartbeat,
-            dissemination.SyncBuckets: self._buckets,
-            dissemination.SyncKeys: self._keys,
-            dissemination.SyncWant: self._want,
+            messages.Heartbeat: self._handle_heartbeat,
+            dissemination.SyncBuckets: self._handle_buckets,
+            dissemination.SyncKeys: self._handle_keys,
+            dissemination.SyncWant: self._handle_want,
         }
 
     def _digest(self, table):
@@ -40,7 +42,7 @@
             Table.ENDS: self._state.ends,
         }[table].digest
 
-    def _heartbeat(self, source, message, now):
+    def _handle_heartbeat(self, source, message, now):
         out = []
         roots = {
             Table.MEMBERS: message.members,
@@ -50,19 +52,19 @@
         for table, root in roots.items():
             if root == self._digest(table).root:
                 continue
-            if self._may_compare(source.instance, table, now):
-                out.append(self._first_step(table))
+            if self._is_comparison_due(source.instance, table, now):
+                out.append(self._first_message(table))
         return [effects.SendPeer(source.address, item) for item in out]
 
-    def _may_compare(self, instance, table, now):
+    def _is_comparison_due(self, instance, table, now):
         key = (instance, table)
-        last = self._compared.get(key)
-        if last is not None and now - last < PAUSE:
+        last = self._compared_at.get(key)
+        if last is not None and now - last < COMPARE_INTERVAL_SECONDS:
             return False
-        self._compared[key] = now
+        self._compared_at[key] = now
         return True
 
-    def _first_step(self, table):
+    def _first_message(self, table):
         digest = self._digest(table)
         if len(digest) <= dissemination.SMALL_TABLE:
             return self._keys_message(table, list(range(digests.BUCKETS)))
@@ -72,8 +74,8 @@
         hashes = self._digest(table).entries(buckets)
         return dissemination.SyncKeys(table, buckets, hashes)
 
-    def _buckets(self, source, message, now):
-        """Answer with the keys of as many buckets as one message holds."""
+    def _handle_buckets(self, source, message, now):
+        """Answer with the keys of the differing buckets that fit a message."""
         digest = self._digest(message.table)
         chosen = []
         count = 0
@@ -87,12 +89,12 @@
         answer = self._keys_message(message.table, chosen)
         return [effects.SendPeer(source.address, answer)]
 
-    def _keys(self, source, message, now):
-        """Send what the other lacks and ask for what is missing here.
+    def _handle_keys(self, source, message, now):
+        """Send records that the sender lacks, and request missing ones.
 
-        Where both hold a key with different contents it cannot be told from
-        the hashes whose is newer, so both send theirs and each keeps the
-        newer one.
+        If both hold a key with different contents, the hashes do not show
+        which record is newer.  Both instances then send theirs, and each
+        keeps the newer one.
         """
         own = self._digest(message.table).entries(message.buckets)
         theirs = message.hashes
@@ -104,25 +106,25 @@
             out.append(dissemination.SyncWant(message.table, want))
         return [effects.SendPeer(source.address, item) for item in out]
 
-    def _want(self, source, message, now):
+    def _handle_want(self, source, message, now):
         found = self._records(message.table, message.keys, now)
         return [effects.SendPeer(source.address, item) for item in found]
 
     def _records(self, table, keys, now):
         keys = sorted(keys)[: dissemination.MOST_KEYS]
         if table is Table.MEMBERS:
-            records = self._members(keys)
+            records = self._member_records(keys)
         elif table is Table.SERVERS:
-            records = self._servers(keys, now)
+            records = self._server_records(keys, now)
         else:
-            records = self._ends(keys, now)
+            records = self._end_records(keys, now)
         return [records] if records.records else []
 
-    def _members(self, keys):
+    def _member_records(self, keys):
         found = [self._state.members.record_of(key) for key in keys]
         return member_records.MemberRecords([item for item in found if item])
 
-    def _servers(self, keys, now):
+    def _server_records(self, keys, now):
         registry = self._state.registry
         return servers.ServerRecords(
             [
@@ -132,7 +134,7 @@
             ]
         )
 
-    def _ends(self, keys, now):
+    def _end_records(self, keys, now):
         ends = self._state.ends
         return server_ends.EndsRecords(
             [ends.record_of(key, now) for key in keys if key in ends.suspects]
--- a/packages/dandeliontrail/src/dandeliontrail/components/revisions.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/revisions.py
@@ -1,10 +1,10 @@
-"""The component that brings whole configurations into force.
+"""The component that applies whole configurations (revisions).
 
 A :class:`..resources.revisions.Revision` is one entry of the quorum log.
-The applier keeps the one with the highest number: a lower one, or another
-with the number that is held, is accepted and changes nothing, so that an
-operator who resends after a lost answer gets the same answer again and
-never brings back what was overtaken.
+The applier keeps the one with the highest number.  A revision with a lower
+or equal number is accepted without effect: an operator who resends one after
+a lost answer gets the same answer again, and cannot restore a configuration
+that has been superseded.
 """
 
 import hashlib
@@ -22,13 +22,17 @@
 
 
 class RoutingOptions(msgspec.Struct, frozen=True):
-    """How recent the state must be proven to be, in seconds, to act on it.
+    """How old the replicated state may be to be acted on, in seconds.
 
-    ``key_proof`` bounds the age for accepting a key: a key that was taken
-    away stops working that soon, also at an instance that is cut off;
-    ``None`` accepts any age.  ``refusal_proof`` bounds it for saying that a
-    key or a route does not exist: an instance that missed a change must not
-    turn away for good what others accept.
+    The age is the time since the state was last proven to be current.
+
+    ``key_proof`` is the greatest age at which an API key is accepted: a
+    revoked key stops working within this time, also at a partitioned
+    instance.  ``None`` accepts any age.
+
+    ``refusal_proof`` is the greatest age at which a key or a route is
+    reported not to exist: an instance that missed a change must not refuse
+    permanently what the other instances accept.
     """
 
     key_proof: float | None = None
@@ -36,7 +40,7 @@
 
 
 class RoutingState:
-    """The revision in force here and its table, or ``None`` for none."""
+    """The routing table of the revision in force, or ``None`` for none."""
 
     __slots__ = ("table", "options")
 
@@ -46,11 +50,14 @@
 
     @property
     def number(self):
-        """Return the number in force, or -1 for none."""
+        """Return the number of the revision in force, or -1 for none."""
         return self.table.revision.number if self.table else -1
 
     def replace(self, revision):
-        """Bring a revision with a higher number into force."""
+        """Put a revision with a higher number into force.
+
+        Checks the invariant that the number only grows.
+        """
         invariants.check(
             revision.number > self.number,
             "revision-in-force-never-reverts",
@@ -59,18 +66,20 @@
         self.table = routing.RoutingTable(revision)
 
 
-# An instance says that it cannot serve once its proof has reached this part
-# of the bound: the balancer asks every second and believes the second miss,
-# so callers are led elsewhere before their keys are refused here.
-READY_PART = 0.5
+# An instance reports that it is not ready once the age of its state exceeds
+# this fraction of ``key_proof``.  The load balancer checks every second and
+# acts on the second failed check, so traffic moves to other instances before
+# keys are refused here.
+READY_FRACTION = 0.5
 
 
 def can_serve(state, now):
-    """Tell whether new callers are welcome, by what is known here.
+    """Return whether this instance is ready for new callers.
 
-    Made for an instance, or a whole failure domain, that is cut off from
-    the keepers: its callers can still reach it, and would be refused there
-    for as long as the cut lasts, while others could serve them.
+    This guards against an instance, or a whole failure domain, that is
+    partitioned from the keepers.  Callers can still reach it, and would be
+    refused for as long as the partition lasts although other instances
+    could serve them.
     """
     if not state.log.ready or state.routing.table is None:
         return False
@@ -78,11 +87,11 @@
     if bound is None or not state.routing.table.keyed:
         return True
     ago = state.log.proven_ago(now)
-    return ago is not None and ago <= bound * READY_PART
+    return ago is not None and ago <= bound * READY_FRACTION
 
 
 class RevisionApplier(machine.Applier):
-    """Applies revisions in log order, the same way on every instance."""
+    """Applies revisions in log order, deterministically on each instance."""
 
     result_type = changes.Result
 
@@ -101,69 +110,72 @@
         return msgspec.json.encode(table.revision if table else None)
 
     def load(self, state):
-        """Take over a revision, unless a newer one is in force."""
+        """Load a revision from a snapshot, unless a newer one is in force."""
         found = msgspec.json.decode(state, type=revisions.Revision | None)
         if found is not None and found.number > self._state.number:
             self._state.replace(found)
 
 
 class Revisions(interfaces.Component):
-    """Proposes revisions and logs which one is in force."""
+    """Proposes revisions to the quorum log and logs which is in force."""
 
-    def __init__(self, state, settled_answer):
+    def __init__(self, state, answer_callback):
         self._state = state
-        self._answer_to = settled_answer
-        self._logged = -1
-        self._proven = None
+        self._answer_callback = answer_callback
+        self._logged_number = -1
+        self._logged_proven = None
         state.log.register(revisions.Revision, RevisionApplier(state.routing))
 
     def handlers(self):
-        """Return the handler of revisions from operators."""
-        return {events.RevisionSubmitted: self._submitted}
+        """Return the handler of revisions submitted by operators."""
+        return {events.RevisionSubmitted: self._handle_submitted}
 
     def tick(self, now):
-        """Log a change of the revision in force."""
-        out = self._tell_proof(now)
+        """Log changes of the revision in force and of its proven age."""
+        out = self._log_proof_changes(now)
         number = self._state.routing.number
-        if number == self._logged:
+        if number == self._logged_number:
             return out
-        self._logged = number
+        self._logged_number = number
         fields = {
             "revision": number,
             "log_position": self._state.log.applied,
             "routes": len(self._state.routing.table.revision.routes),
-            "proven_ago": _rounded(self._state.log.proven_ago(now)),
+            "proven_ago": _rounded_or_none(self._state.log.proven_ago(now)),
         }
         return [*out, effects.Log("info", "revision in force", fields)]
 
-    def _tell_proof(self, now):
-        """Log when keys begin, or cease, to be proven recent enough."""
+    def _log_proof_changes(self, now):
+        """Log when the state becomes too old, or recent enough, for keys."""
         bound = self._state.routing.options.key_proof
         if bound is None:
             return []
         ago = self._state.log.proven_ago(now)
         proven = ago is not None and ago <= bound
-        if proven == self._proven or (self._proven is None and not proven):
+        if proven == self._logged_proven or (
+            self._logged_proven is None and not proven
+        ):
             return []
-        self._proven = proven
-        fields = {"proven_ago": _rounded(ago), "bound": bound}
+        self._logged_proven = proven
+        fields = {"proven_ago": _rounded_or_none(ago), "bound": bound}
         if proven:
             return [effects.Log("info", "keys are proven recent", fields)]
         text = "keys are not proven recent: requests with keys are refused"
         return [effects.Log("warning", text, fields)]
 
-    def _submitted(self, event, now):
-        """Propose a revision under an id made of its content.
+    def _handle_submitted(self, event, now):
+        """Propose a revision under an id derived from its content.
 
-        Two operators may send different content under one number, so the
-        number alone would take the second for a resend of the first.
+        Two operators may submit different content under the same number.
+        With an id made of the number alone, the second would be taken for a
+        resend of the first.
         """
         revision = event.revision
         digest = hashlib.sha256(revision.document.encode()).hexdigest()[:16]
         proposal_id = f"revision/{revision.number}/{digest}"
-        settled = self._answer_to(event.write_id)
+        settled = self._answer_callback(event.write_id)
         return self._state.log.propose(revision, proposal_id, now, settled)
 
 
-def _rounded(seconds):
+def _rounded_or_none(seconds):
     return None if seconds is None else round(seconds, 3)
--- a/packages/dandeliontrail/src/dandeliontrail/components/server_ends.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/server_ends.py
@@ -1,8 +1,10 @@
-"""The component that holds back requests which crash their servers.
+"""The component that withholds requests which crash their servers.
 
-What ends under which request is told at once over all links, and passed on by
-relays; heartbeats compare the tables, so that an instance that has just
-started, or was cut off, has them within a second or two.
+A request is identified by a fingerprint.  Which server ended while it ran
+which request is reported at once on all links and forwarded by relays.
+Heartbeats compare digests of the tables, so that an instance that has just
+started, or was partitioned, is up to date within one or two seconds.  The
+rules are in :mod:`..decisions.crash_suspects`.
 """
 
 import collections
@@ -13,24 +15,26 @@
 from ..coordination import server_ends
 from ..decisions import crash_suspects
 
-# What was served lately here, by fingerprint: a request that many send alike
-# is cleared as soon as it is suspected, before it can be held back for long.
-MOST_SERVED = 4096
-# One end holds nothing back, and nearly all that was under it is served on
-# the next server: that is no news.
-ENDS_TO_CLEAR = 2
-FORGET_INTERVAL = 1.0
+# How many fingerprints of recently served requests are kept.  They clear a
+# request that many callers send alike as soon as it is suspected, before it
+# is held back for long.
+MAX_SERVED_FINGERPRINTS = 4096
+# A suspect with fewer ends is not reported as served: a single end holds no
+# request back, and nearly all requests that ran on the ended server are then
+# served by the next one.
+MIN_ENDS_TO_CLEAR = 2
+FORGET_INTERVAL_SECONDS = 1.0
 
 
-class Scope(enum.Enum):
-    """To which links news goes on."""
+class ForwardingScope(enum.Enum):
+    """The links to which reports are sent."""
 
     ALL = "all"
     OWN_DOMAIN = "own_domain"
 
 
-class News:
-    """What is to be told: ends by incarnation, and what was served."""
+class _PendingReports:
+    """Reports to send: server ends by incarnation, and served requests."""
 
     __slots__ = ("ends", "served")
 
@@ -40,43 +44,44 @@
 
 
 class ServerEnds(interfaces.Component):
-    """Keeps the table of ends and tells what is held back."""
+    """Maintains the table of server ends and decides what is held back."""
 
     def __init__(self, state):
         self._state = state
         self._table = state.ends
-        self._served = collections.OrderedDict()
-        self._news = {}
+        self._recently_served = collections.OrderedDict()
+        self._pending_reports = {}
         self._held = set()
         self._newly_held = []
-        self._lines = []
+        self._pending_log_effects = []
         self._next_forget = 0.0
 
     def handlers(self):
-        """Return the handlers of the other instances' words."""
+        """Return the handlers of the other instances' reports."""
         return {
-            server_ends.EndedServers: self._ended_servers,
-            server_ends.EndsRecords: self._records,
+            server_ends.EndedServers: self._handle_ended_servers,
+            server_ends.EndsRecords: self._handle_records,
         }
 
     def tick(self, now):
-        """Pass on what is news, and forget what is old.
+        """Send the pending reports and remove expired entries.
 
-        News is gathered until the next tick: a server that ends under sixty
-        requests would else be sixty messages to each link.
+        Reports are batched until the next tick.  Otherwise a server that
+        ends while it runs sixty requests would cause sixty messages on each
+        link.
         """
         if now >= self._next_forget:
-            self._next_forget = now + FORGET_INTERVAL
+            self._next_forget = now + FORGET_INTERVAL_SECONDS
             self._held.difference_update(self._table.forget(now))
             self._table.settle(now)
-        out, self._lines = self._lines, []
-        news, self._news = self._news, {}
-        for scope, found in news.items():
-            out.extend(self._spread(scope, found, now))
+        out, self._pending_log_effects = self._pending_log_effects, []
+        pending, self._pending_reports = self._pending_reports, {}
+        for scope, reports in pending.items():
+            out.extend(self._send_reports(scope, reports, now))
         return out
 
     def holds(self, fingerprint, now):
-        """Tell whether a request gets no server now."""
+        """Return whether a request is held back now."""
         if fingerprint not in self._table.suspects:
             return False
         return crash_suspects.is_held(
@@ -84,86 +89,97 @@
         )
 
     def take_newly_held(self):
-        """Return what came to be held back since the last call."""
+        """Return the fingerprints newly held back since the last call."""
         found, self._newly_held = self._newly_held, []
         return found
 
     def ended_under(self, attempt, event, now):
-        """Take note that an attempt failed, maybe with its server.
+        """Record that an attempt failed, possibly because its server ended.
 
-        ``attempt`` is a ``life.Life``, for its present one, or a hedge.
+        ``attempt`` is a ``life.Life``, whose current attempt is meant, or a
+        hedge.
         """
         fingerprint = attempt.work.fingerprint
-        if not fingerprint or fingerprint in self._served:
+        if not fingerprint or fingerprint in self._recently_served:
             return
         if crash_suspects.is_suspect(event.closed, attempt.output_at, now):
-            self._note(fingerprint, attempt.incarnation, now, Scope.ALL, now)
+            self._record_end(
+                fingerprint, attempt.incarnation, now, ForwardingScope.ALL, now
+            )
 
     def served(self, fingerprint, now):
-        """Take note that a server served a request to the end."""
+        """Record that a server served a request to completion."""
         if not fingerprint:
             return
-        self._served[fingerprint] = None
-        self._served.move_to_end(fingerprint)
-        if len(self._served) > MOST_SERVED:
-            self._served.popitem(last=False)
+        self._recently_served[fingerprint] = None
+        self._recently_served.move_to_end(fingerprint)
+        if len(self._recently_served) > MAX_SERVED_FINGERPRINTS:
+            self._recently_served.popitem(last=False)
         self._clear_if_served(fingerprint, now)
 
     def _clear_if_served(self, fingerprint, now):
-        """Clear a suspect, where enough ended under it for that to be news."""
+        """Clear a suspect that was served here and has enough ends."""
         found = self._table.suspects.get(fingerprint)
         if (
             found is not None
-            and len(found.ends) >= ENDS_TO_CLEAR
-            and fingerprint in self._served
+            and len(found.ends) >= MIN_ENDS_TO_CLEAR
+            and fingerprint in self._recently_served
         ):
-            self._clear(fingerprint, now, Scope.ALL, now)
+            self._clear(fingerprint, now, ForwardingScope.ALL, now)
 
-    def _note(self, fingerprint, incarnation, at, scope, now):
+    def _record_end(self, fingerprint, incarnation, at, scope, now):
         if not self._table.note(fingerprint, incarnation, at, now):
             return
         if scope is not None:
-            news = self._news.setdefault(scope, News())
-            news.ends.setdefault(incarnation, {})[fingerprint] = at
-        self._changed(fingerprint, now)
+            pending = self._pending_reports.setdefault(
+                scope, _PendingReports()
+            )
+            pending.ends.setdefault(incarnation, {})[fingerprint] = at
+        self._update_held(fingerprint, now)
 
     def _clear(self, fingerprint, at, scope, now):
         if not self._table.clear(fingerprint, at, now):
             return
         if scope is not None:
-            news = self._news.setdefault(scope, News())
-            news.served[fingerprint] = at
-        self._changed(fingerprint, now)
+            pending = self._pending_reports.setdefault(
+                scope, _PendingReports()
+            )
+            pending.served[fingerprint] = at
+        self._update_held(fingerprint, now)
 
-    def _scope_of(self, source):
-        """Return to whom news from another instance goes on, if at all."""
+    def _forwarding_scope(self, source):
+        """Return the links to forward a peer's reports to, or ``None``."""
         members = self._state.members
         own = self._state.identity.failure_domain
         if members.full_mesh():
             return None
         if members.is_relay():
-            inside = source.failure_domain == own
-            return Scope.ALL if inside else Scope.OWN_DOMAIN
+            same_domain = source.failure_domain == own
+            return (
+                ForwardingScope.ALL
+                if same_domain
+                else ForwardingScope.OWN_DOMAIN
+            )
         relays = [item.instance for item in members.relays_of(own)]
-        return None if source.instance in relays else Scope.ALL
+        return None if source.instance in relays else ForwardingScope.ALL
 
-    def _ended_servers(self, source, message, now):
+    def _handle_ended_servers(self, source, message, now):
         delay = self._state.members.delay(source, now)
-        scope = self._scope_of(source)
+        scope = self._forwarding_scope(source)
         for ended in message.ended:
             incarnation = (ended.server, ended.epoch)
             at = now - ended.age - delay
             for fingerprint in ended.fingerprints:
-                self._note(fingerprint, incarnation, at, scope, now)
+                self._record_end(fingerprint, incarnation, at, scope, now)
                 self._clear_if_served(fingerprint, now)
         for fingerprint in message.served:
             self._clear(fingerprint, now - delay, scope, now)
         return []
 
-    def _records(self, source, message, now):
-        """Take in what this instance lacked, as a relay for its domain too."""
+    def _handle_records(self, source, message, now):
+        """Apply records that this instance lacked; a relay forwards them."""
         delay = self._state.members.delay(source, now)
-        scope = self._scope_of(source)
+        scope = self._forwarding_scope(source)
         for record in message.records:
             fingerprint = record.fingerprint
             if self._table.is_forgotten(record, delay):
@@ -174,11 +190,11 @@
             for end in record.ends:
                 at = now - end.age - delay
                 incarnation = (end.server, end.epoch)
-                self._note(fingerprint, incarnation, at, scope, now)
+                self._record_end(fingerprint, incarnation, at, scope, now)
             self._clear_if_served(fingerprint, now)
         return []
 
-    def _changed(self, fingerprint, now):
+    def _update_held(self, fingerprint, now):
         held = self.holds(fingerprint, now)
         if held == (fingerprint in self._held):
             return
@@ -187,10 +203,10 @@
             self._newly_held.append(fingerprint)
         else:
             self._held.discard(fingerprint)
-        self._lines.append(self._line(fingerprint, held))
+        self._pending_log_effects.append(self._log_effect(fingerprint, held))
 
-    def _line(self, fingerprint, held):
-        """Return the log line of a request that is held back or no longer."""
+    def _log_effect(self, fingerprint, held):
+        """Return the log effect for a request held back or released."""
         found = self._table.suspects[fingerprint]
         fields = {
             "fingerprint": fingerprint,
@@ -201,20 +217,20 @@
         }
         return effects.Log("warning", "request held back", fields)
 
-    def _spread(self, scope, news, now):
+    def _send_reports(self, scope, reports, now):
         ended = [
             server_ends.EndedServer(
                 name,
                 epoch,
-                round(max(0.0, now - min(under.values())), 3),
-                list(under),
+                round(max(0.0, now - min(fingerprints.values())), 3),
+                list(fingerprints),
             )
-            for (name, epoch), under in news.ends.items()
+            for (name, epoch), fingerprints in reports.ends.items()
         ]
-        message = server_ends.EndedServers(ended, list(news.served))
+        message = server_ends.EndedServers(ended, list(reports.served))
         own = self._state.identity.failure_domain
         return [
             effects.SendPeer(member.address, message)
             for member in self._state.members.links()
-            if scope is Scope.ALL or member.failure_domain == own
+            if scope is ForwardingScope.ALL or member.failure_domain == own
         ]
--- a/packages/dandeliontrail/src/dandeliontrail/components/server_loads.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/server_loads.py
@@ -1,122 +1,138 @@
-"""The component that tells the other instances of work at servers.
-
-In a full mesh each instance tells all others.  Above that it tells a relay
-of its failure domain, which answers with the sum of all; a relay tells the
-relays of the other domains the sum of its own.  So each instance has a few
-exchanges a second however many there are, and one that has nothing to do has
-hardly any.  A relay that told its domain on its own accord sent 73 batches a
-second at 30 idle instances, and would send 235 at 195.
+"""The component that exchanges the loads at backend servers.
+
+In a full mesh, each instance sends its loads to all others.  In larger
+systems, an instance sends them to a relay of its failure domain, which
+answers with the sum over all instances; a relay sends the sum of its own
+domain to the relays of the other domains.  Each instance therefore takes part
+in a few exchanges per second regardless of the number of instances, and an
+idle instance in hardly any.  Relays answer instead of pushing to their domain:
+a relay that pushed sent 73 batches per second with 30 idle instances, and
+would send 235 with 195.
 """
 
 from .. import effects
 from .. import interfaces
 from ..coordination import server_loads
 
-# What changed little is said this often, so that it does not expire.  Said
-# at each change, it took as much processor time as the requests themselves.
-REPEAT_INTERVAL = 0.5
-# Instances that have not said anything of their own are told this often
-# only: they may have begun to serve, or never will.
-OTHERS_INTERVAL = 3.0
-# Between two messages through relays while there is work: a load is two such
-# steps old at the most, and older ones send many instances to one engine.  An
-# instance without work asks at ``REPEAT_INTERVAL``.
-RELAY_INTERVAL = 0.2
+# Loads that changed little are sent this often, so that they do not expire
+# at the receivers.  Sending them at each change took as much processor time
+# as the requests themselves.
+REPEAT_INTERVAL_SECONDS = 0.5
+# Instances that have reported no loads of their own are sent loads only this
+# often: they may have begun to serve requests, or may never do so.
+ALL_INSTANCES_INTERVAL_SECONDS = 3.0
+# The interval of messages through relays while there is work.  A load is at
+# most two such intervals old; with older loads, many instances choose the
+# same engine at once.  An instance without work sends its message every
+# ``REPEAT_INTERVAL_SECONDS``.
+RELAY_INTERVAL_SECONDS = 0.2
 
 
 class ServerLoads(interfaces.Component):
-    """Sends this instance's loads and takes in those of the others."""
+    """Sends this instance's loads and applies those of the others."""
 
     def __init__(self, state, policy):
         self._state = state
         self._policy = policy
-        self._speakers = {}
-        self._sent = []
-        self._reads = []
-        # For the own domain, where this instance is its relay.
+        self._reporting_instances = {}
+        self._sent_loads = []
+        self._unsent_reads = []
+        # Prompt parts to report to the instances of this failure domain,
+        # filled only while this instance is the domain's first relay.
         self._read_log = server_loads.ReadLog()
-        self._last_relayed = float("-inf")
-        self._told_outside = False
+        self._last_sent_at = float("-inf")
+        self._sent_work_outside = False
         self._next_repeat = 0.0
-        self._next_others = 0.0
+        self._next_to_all = 0.0
 
     def handlers(self):
-        """Return the handler of the others' loads."""
+        """Return the handler of other instances' loads."""
         return {server_loads.ServerLoads: self._heard}
 
     def tick(self, now):
-        """Send what changed, ten times a second at the most."""
+        """Send the loads that changed, at most ten times per second."""
         self._state.loads.expire(now)
         reads = self._policy.take_reads()
-        self._reads.extend(reads)
+        self._unsent_reads.extend(reads)
         if not self._state.members.full_mesh():
-            return self._through_relays(reads, now)
+            return self._send_to_relay(reads, now)
         loads = self._policy.own_loads()
-        if not loads and not self._sent and not self._reads:
+        if not loads and not self._sent_loads and not self._unsent_reads:
             return []
-        matters = self._reads or server_loads.differ(loads, self._sent)
-        if not matters and now < self._next_repeat:
+        is_due = self._unsent_reads or server_loads.differ(
+            loads, self._sent_loads
+        )
+        if not is_due and now < self._next_repeat:
             return []
-        self._sent = loads
-        self._next_repeat = now + REPEAT_INTERVAL
-        message = server_loads.ServerLoads(loads, self._take_reads())
+        self._sent_loads = loads
+        self._next_repeat = now + REPEAT_INTERVAL_SECONDS
+        message = server_loads.ServerLoads(loads, self._take_unsent_reads())
         return [
             effects.SendPeer(member.address, message)
             for member in self._receivers(now)
         ]
 
-    def _take_reads(self):
-        reads, self._reads = self._reads, []
+    def _take_unsent_reads(self):
+        reads, self._unsent_reads = self._unsent_reads, []
         return reads
 
     def _receivers(self, now):
         alive = self._state.members.alive(now)
-        if now >= self._next_others:
-            self._next_others = now + OTHERS_INTERVAL
+        if now >= self._next_to_all:
+            self._next_to_all = now + ALL_INSTANCES_INTERVAL_SECONDS
             return alive
-        return [item for item in alive if item.instance in self._speakers]
+        return [
+            item
+            for item in alive
+            if item.instance in self._reporting_instances
+        ]
 
-    def _through_relays(self, reads, now):
-        if self._sums_up():
+    def _send_to_relay(self, reads, now):
+        if self._is_aggregator():
             self._read_log.add(reads, self._state.identity.instance, now)
-            return self._as_relay(now)
+            return self._send_domain_sum(now)
         loads = self._policy.own_loads()
-        works = loads or self._sent or self._reads
-        pause = RELAY_INTERVAL if works else REPEAT_INTERVAL
-        if now - self._last_relayed < pause:
+        has_work = loads or self._sent_loads or self._unsent_reads
+        interval = (
+            RELAY_INTERVAL_SECONDS if has_work else REPEAT_INTERVAL_SECONDS
+        )
+        if now - self._last_sent_at < interval:
             return []
-        self._last_relayed = now
-        self._sent = loads
+        self._last_sent_at = now
+        self._sent_loads = loads
         relays = self._state.members.relays_of(
             self._state.identity.failure_domain
         )
         self._state.loads.told_relay_at = now
-        message = server_loads.ServerLoads(loads, self._take_reads())
+        message = server_loads.ServerLoads(loads, self._take_unsent_reads())
         return [effects.SendPeer(item.address, message) for item in relays[:1]]
 
-    def _sums_up(self):
-        """Tell whether this instance is the one that sums up its domain.
+    def _is_aggregator(self):
+        """Return whether this instance aggregates its domain's loads.
 
-        The second relay stands by: two sums would count each load twice.
+        Only the first relay does; the second one is a standby, since with
+        two sums each load would count twice.
         """
         members = self._state.members
         return not members.full_mesh() and (
             members.is_relay() and members.is_first_relay()
         )
 
-    def _as_relay(self, now):
-        """Tell the first relays of the other domains the sum of this one."""
-        if now - self._last_relayed < RELAY_INTERVAL:
+    def _send_domain_sum(self, now):
+        """Send the sum of this domain to the first relays of the others."""
+        if now - self._last_sent_at < RELAY_INTERVAL_SECONDS:
             return []
-        self._last_relayed = now
+        self._last_sent_at = now
         members = self._state.members
         own = self._state.identity.failure_domain
         loads = self._state.loads.sum_of(self._policy.own_loads(), own)
-        message = server_loads.ServerLoads(loads, self._take_reads(), own)
-        works = bool(loads or message.reads)
-        if not works and not self._told_outside:
+        message = server_loads.ServerLoads(
+            loads, self._take_unsent_reads(), own
+        )
+        has_work = bool(loads or message.reads)
+        if not has_work and not self._sent_work_outside:
             return []
-        self._told_outside = works
+        self._sent_work_outside = has_work
         return [
             effects.SendPeer(item.address, message)
             for domain in members.relayed_domains()
@@ -127,27 +143,32 @@
     def _heard(self, source, message, now):
         loads = message.loads
         if message.of == server_loads.ALL:
-            if self._sums_up():
-                # From another that takes itself for the first relay.
+            if self._is_aggregator():
+                # The sender also considers itself the first relay.
                 return []
-            loads = server_loads.without(loads, self._sent)
+            loads = server_loads.without(loads, self._sent_loads)
             self._state.members.note_told_silent(message.silent, now)
-        elif message.of and not self._sums_up():
-            # From a relay that takes this instance for the first of its
-            # domain; the sum of all, from the first, has it already.
+        elif message.of and not self._is_aggregator():
+            # The sender takes this instance for the first relay of its
+            # domain.  The sum over all domains, which the first relay sends,
+            # already contains this one.
             return []
-        self._speakers[source.instance] = now
+        self._reporting_instances[source.instance] = now
         name = message.of or source.instance
         self._state.loads.take(name, source.failure_domain, loads, now)
         self._policy.heard_reads(message.reads, now)
-        return self._relayed(source, message, now) if self._sums_up() else []
+        return (
+            self._answer_as_relay(source, message, now)
+            if self._is_aggregator()
+            else []
+        )
 
-    def _relayed(self, source, message, now):
-        """Pass on what was read, and answer an instance of the own domain."""
+    def _answer_as_relay(self, source, message, now):
+        """Record prompt parts, and answer instances of this domain."""
         self._read_log.add(message.reads, source.instance, now)
         if source.failure_domain != self._state.identity.failure_domain:
             return []
-        self._reads.extend(message.reads)
+        self._unsent_reads.extend(message.reads)
         answer = server_loads.ServerLoads(
             self._state.loads.sum_of_all(self._policy.own_loads()),
             self._read_log.news_for(source.instance, source.incarnation, now),
--- a/packages/dandeliontrail/src/dandeliontrail/components/server_orders.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/server_orders.py
@@ -1,9 +1,9 @@
-"""Which servers the holder of the platform's duties orders, and when.
+"""Orders the number of servers of each service from the platform.
 
-A part of the duties component.  It looks at what serves, asks
-:mod:`..decisions.server_counts` what to keep, and has each change of an
-order written to the log before it is given, so that the next holder goes on
-from there.
+This is a scheduler of the duties component.  It counts the serving servers,
+asks :mod:`..decisions.server_counts` how many to keep, and writes each
+changed order to the quorum log before it is sent, so that the next holder
+continues from the last order.
 """
 
 from .. import effects
@@ -11,101 +11,110 @@
 from ..decisions import server_counts as decision
 from . import duty_part
 
-INTERVAL = 0.5
-# What is found counts as needed once it has stayed the same for this long:
-# servers announce themselves every second or so.
-SETTLED_SECONDS = 2.0
-# After its own start an instance has heard of all servers that there are.
+CHECK_INTERVAL_SECONDS = 0.5
+# The number of serving servers is taken as needed once it has been stable for
+# this long.  Servers announce themselves about once per second.
+STABLE_SECONDS = 2.0
+# This long after its start, an instance has heard of all existing servers.
 INFORMED_SECONDS = 4.0
-# An order whose servers do not come is given again once the time that they
-# take to start is over by this much.
+# An order whose servers do not appear is repeated this long after the end of
+# the time that they take to boot.
 OVERDUE_SECONDS = 3.0
 NEVER = float("inf")
 
 
-class ServerOrders(duty_part.DutyPart):
-    """Keeps the orders of all services in line with what serves."""
+class ServerOrders(duty_part.CallScheduler):
+    """Keeps the orders of all services in line with the serving servers."""
 
     def __init__(self, state, propose):
         self._state = state
         self._ordered = state.duties.ordered
         self._propose = propose
-        self._found = {}
-        self._proposed = set()
-        self._given = {}
-        self._due = {}
-        self._next_call = {}
-        self._next_look = 0.0
+        self._regular_counts = {}
+        self._pending_proposals = set()
+        self._accepted_at = {}
+        self._overdue_at = {}
+        self._not_before = {}
+        self._next_check = 0.0
         self._informed_at = None
 
     def lives(self, now):
-        """Take note that this instance runs, whoever holds the duty."""
+        """Record that this instance runs, also while it is not the holder.
+
+        The first call starts the time of ``INFORMED_SECONDS``.
+        """
         if self._informed_at is None:
             self._informed_at = now + INFORMED_SECONDS
 
     def tick(self, now):
-        """Return the effects of orders that change."""
+        """Return the effects of the orders that change."""
         if not self._state.duties.options.orders_servers:
             return []
-        if now < self._next_look:
+        if now < self._next_check:
             return []
-        self._next_look = now + INTERVAL
-        heard = server_counts.count(
+        self._next_check = now + CHECK_INTERVAL_SECONDS
+        counts_by_group = server_counts.count(
             item.announcement for item in self._state.registry.serving(now)
         )
         out = []
-        for service in self._services():
-            out.extend(self._look(service, heard, now))
+        for service in self._scaled_services():
+            out.extend(self._check_service(service, counts_by_group, now))
         return out
 
-    def _services(self):
+    def _scaled_services(self):
         table = self._state.routing.table
         if table is None:
             return []
         return [item for item in table.revision.services if item.scaling]
 
-    def _look(self, service, heard, now):
-        """Compare what is ordered with what should be.
+    def _check_service(self, service, counts_by_group, now):
+        """Compare the orders of a service with what should be ordered.
 
-        ``heard`` counts the servers of each group.  A failure domain of which
-        no server at all is heard may be cut off, and is left as it is.
+        ``counts_by_group`` counts the serving servers of each group.  A
+        failure domain without any known server may be partitioned, and its
+        orders are left unchanged.
         """
-        serving = _by_domain(service.name, heard)
+        serving = _stock_by_domain(service.name, counts_by_group)
         needed = {
-            domain: self._needed(service.name, domain, stock)
+            domain: self._needed_servers(service.name, domain, stock)
             for domain, stock in serving.items()
         }
         known = self._ordered.domains(service.name)
-        # A reserve is shared out among all failure domains, once none of them
-        # has only just been found; until then orders only grow.
+        # The reserve is divided among all failure domains.  While one of them
+        # is new, the final shares are not known, so orders only grow.
         complete = needed.keys() <= known
         domains = len(known) if complete else 1
         wanted = decision.plan(service.scaling, needed, serving, domains)
         if not complete:
-            self._grow_only(service.name, wanted)
+            self._prevent_spot_decrease(service.name, wanted)
         out = []
         for domain, stock in serving.items():
             regular = server_counts.Group(service.name, domain, False)
             spot = server_counts.Group(service.name, domain, True)
-            counts = self._counts(regular, spot, wanted[domain], stock, now)
+            counts = self._orders_to_compare(
+                regular, spot, wanted[domain], stock, now
+            )
             if counts:
-                self._note_missing(spot, stock.spot, service.scaling)
-                self._note_missing(regular, stock.regular, service.scaling)
+                self._set_overdue(spot, stock.spot, service.scaling)
+                self._set_overdue(regular, stock.regular, service.scaling)
             for group, count in counts:
                 out.extend(
-                    self._order(group, count, needed[domain], stock, now)
+                    self._order_servers(
+                        group, count, needed[domain], stock, now
+                    )
                 )
         return out
 
-    def _counts(self, regular, spot, wanted, serving, now):
+    def _orders_to_compare(self, regular, spot, wanted, serving, now):
         """Return the orders to compare, as pairs of group and count.
 
-        As long as nothing is ordered, the servers that were found are some of
-        those that are needed: spot ones are ordered for them at once, since
-        each second until these have started is paid for at the full price.
-        Regular ones are given up only by what is known for sure.
+        As long as nothing is ordered, the servers found so far are a lower
+        bound of those needed.  Spot servers are ordered for them at once,
+        since every second until they have started is paid for at the full
+        price.  Regular servers are given up only once the count is stable
+        and this instance has heard of all servers.
         """
-        settled = self._has_settled(regular, serving.regular, now)
+        settled = self._is_stable(regular, serving.regular, now)
         ordered = self._ordered.last(regular) is not None
         informed = now >= self._informed_at
         if ordered and not informed:
@@ -114,19 +123,19 @@
             return [(spot, wanted.spot), (regular, wanted.regular)]
         return [(spot, wanted.spot)]
 
-    def _grow_only(self, service, wanted):
+    def _prevent_spot_decrease(self, service, wanted):
         for domain, stock in wanted.items():
             spot = server_counts.Group(service, domain, True)
-            stock.spot = max(stock.spot, self._last_count(spot))
+            stock.spot = max(stock.spot, self._last_ordered_count(spot))
 
-    def _last_count(self, group):
+    def _last_ordered_count(self, group):
         last = self._ordered.last(group)
         return last.count if last is not None else 0
 
-    def _needed(self, service, domain, serving):
+    def _needed_servers(self, service, domain, serving):
         """Return how many servers a failure domain needs.
 
-        That is what was found before anything was ordered.
+        That is the number that served before anything was ordered.
         """
         regular = server_counts.Group(service, domain, False)
         spot = server_counts.Group(service, domain, True)
@@ -136,32 +145,35 @@
         last = self._ordered.last(spot)
         return max(last.needed if last else 0, serving.regular)
 
-    def _note_missing(self, group, serving, scaling):
-        """Have an order given again whose servers did not come."""
+    def _set_overdue(self, group, serving, scaling):
+        """Set when to repeat an order whose servers did not appear."""
         last = self._ordered.last(group)
-        given = self._given.get(group)
+        given = self._accepted_at.get(group)
         if last is None or given is None or serving >= last.count:
-            self._due.pop(group, None)
+            self._overdue_at.pop(group, None)
         else:
-            self._due[group] = given + scaling.boot_seconds + OVERDUE_SECONDS
+            self._overdue_at[group] = (
+                given + scaling.boot_seconds + OVERDUE_SECONDS
+            )
 
-    def _has_settled(self, group, count, now):
-        """Tell whether as many have served for a while."""
-        before, since = self._found.get(group, (None, now))
+    def _is_stable(self, group, count, now):
+        """Return whether ``count`` is unchanged for ``STABLE_SECONDS``."""
+        before, since = self._regular_counts.get(group, (None, now))
         if before != count:
-            self._found[group] = (count, now)
+            self._regular_counts[group] = (count, now)
             return False
-        return now - since >= SETTLED_SECONDS
+        return now - since >= STABLE_SECONDS
 
-    def _order(self, group, count, needed, serving, now):
+    def _order_servers(self, group, count, needed, serving, now):
         last = self._ordered.last(group)
-        # Without any order there are regular servers, and no spot ones.
+        # Before the first order, the number of regular servers is unknown
+        # and there are no spot servers.
         before = 0 if group.spot else None
         if last is not None:
             before = last.count
-        if before == count or group in self._proposed:
+        if before == count or group in self._pending_proposals:
             return []
-        self._proposed.add(group)
+        self._pending_proposals.add(group)
         order = server_counts.CountOrder(group, count, needed)
         fields = {
             "service": group.service,
@@ -174,9 +186,9 @@
             "spot_serving": serving.spot,
         }
 
-        def settled(found, now):
-            self._proposed.discard(group)
-            self._given.pop(group, None)
+        def settled(outcome, now):
+            self._pending_proposals.discard(group)
+            self._accepted_at.pop(group, None)
             return []
 
         return [
@@ -184,31 +196,33 @@
             *self._propose(order, now, settled),
         ]
 
-    # -- giving the orders ------------------------------------------------
+    # -- sending the orders -----------------------------------------------
 
-    def next(self, now):
+    def next_call(self, now):
         """Return the call that is due, or ``None``."""
         for group, order in self._ordered.orders.items():
-            if now < self._next_call.get(group, 0.0):
+            if now < self._not_before.get(group, 0.0):
                 continue
-            if group in self._given and now < self._due.get(group, NEVER):
+            if group in self._accepted_at and now < self._overdue_at.get(
+                group, NEVER
+            ):
                 continue
             version = self._ordered.versions[group]
             return effects.SetServerCount(group, order.count, version)
         return None
 
-    def took(self, call, now):
-        """Take note that the platform has an order."""
+    def record_accepted(self, call, now):
+        """Record that the platform accepted an order."""
         if self._ordered.versions.get(call.group) == call.version:
-            self._given[call.group] = now
-        self._next_call.pop(call.group, None)
+            self._accepted_at[call.group] = now
+        self._not_before.pop(call.group, None)
 
-    def put_off(self, call, until):
-        """Give an order again at ``until``."""
-        self._next_call[call.group] = until
+    def retry_at(self, call, until):
+        """Have an order repeated, not before ``until``."""
+        self._not_before[call.group] = until
 
-    def fields(self, call):
-        """Return what the log says of an order."""
+    def log_fields(self, call):
+        """Return the fields that a log line about an order contains."""
         group = call.group
         return {
             "service": group.service,
@@ -218,15 +232,15 @@
         }
 
 
-def _by_domain(service, heard):
+def _stock_by_domain(service, counts_by_group):
     """Return the :class:`decision.Stock` of each failure domain."""
-    found = {}
-    for group, count in heard.items():
+    stocks = {}
+    for group, count in counts_by_group.items():
         if group.service != service:
             continue
-        stock = found.setdefault(group.failure_domain, decision.Stock())
+        stock = stocks.setdefault(group.failure_domain, decision.Stock())
         if group.spot:
             stock.spot = count
         else:
             stock.regular = count
-    return found
+    return stocks
--- a/packages/dandeliontrail/src/dandeliontrail/components/usage.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/usage.py
@@ -1,4 +1,4 @@
-"""The component that keeps the usage ledger the same everywhere."""
+"""The component that replicates the usage ledger to all instances."""
 
 from .. import effects
 from .. import events
@@ -9,98 +9,103 @@
 from ..coordination import messages
 from ..coordination import usage
 
-# Two links, one of them in another failure domain where there is any, get
-# what was counted this often: the most that a crash loses is what was
-# counted since, and the time of one message.
-COPY_INTERVAL = 0.5
-# Nothing is sent sooner after the start: by then this instance has heard
-# whether its incarnation is the greatest, under which it publishes.
-SETTLE_SECONDS = 2.0
-# All must have agreed for so long before finished publishers are folded,
-# and not before everybody has had the time to be known after a start.
-AGREE_SECONDS = 5.0
-FOLD_AFTER_START = 60.0
-SAVE_INTERVAL = 1.0
-# After so many journal entries the disk gets a checkpoint in their place.
-JOURNAL_LENGTH = 600
+# How often new counts are copied to two linked instances, one of them in
+# another failure domain if possible.  A crash loses at most the counts of
+# this interval and of the time that one message takes.
+COPY_INTERVAL_SECONDS = 0.5
+# Nothing is sent earlier than this after the start.  By then, the instance
+# has heard whether its incarnation, under which it publishes, is its greatest.
+SEND_AFTER_START_SECONDS = 2.0
+# Finished publishers are folded once all instances have agreed for this long,
+# but not earlier than ``FOLD_AFTER_START_SECONDS`` after this instance's
+# start, by when it knows all other instances.
+AGREEMENT_SECONDS = 5.0
+FOLD_AFTER_START_SECONDS = 60.0
+SAVE_INTERVAL_SECONDS = 1.0
+# Once the journal on disk has this many entries, a checkpoint replaces it.
+MAX_JOURNAL_ENTRIES = 600
 LEFT = member_records.Standing.LEFT
 
 
 class Usage(interfaces.Component):
-    """Sends rows, asks for those that were missed, and folds old ones."""
+    """Sends usage rows, requests missed ones, and folds finished publishers.
+
+    If ``keeps`` is true, the ledger is also saved to disk.
+    """
 
     def __init__(self, state, keeps=False):
         self._state = state
         self._ledger = state.usage
-        self._keeps = keeps
-        self._sent = {}
-        self._asked = {}
-        self._settled_at = None
+        self._persists = keeps
+        self._sent_versions = {}
+        self._incomplete_versions = {}
+        self._may_send_at = None
         self._next_copy = 0.0
         self._next_save = 0.0
-        self._journal = JOURNAL_LENGTH
+        self._journal_entries = MAX_JOURNAL_ENTRIES
         self._agreed_since = None
         self._may_fold_at = 0.0
 
     def handlers(self):
-        """Return the handlers of the ledger's messages."""
+        """Return the handlers of the ledger's events and messages."""
         return {
-            events.DayBegan: self._day_began,
-            events.UsageLoaded: self._loaded,
-            messages.Heartbeat: self._heartbeat,
-            usage.UsageRows: self._rows,
-            usage.UsageHave: self._have,
-            usage.UsageCheckpoint: self._checkpoint,
+            events.DayBegan: self._handle_day_began,
+            events.UsageLoaded: self._handle_loaded,
+            messages.Heartbeat: self._handle_heartbeat,
+            usage.UsageRows: self._handle_rows,
+            usage.UsageHave: self._handle_have,
+            usage.UsageCheckpoint: self._handle_checkpoint,
         }
 
     def tick(self, now):
-        """Send what was counted, and fold and save when that is due."""
-        if self._settled_at is None:
-            self._settled_at = now + SETTLE_SECONDS
-            self._may_fold_at = now + FOLD_AFTER_START
+        """Send new counts, and fold and save when that is due."""
+        if self._may_send_at is None:
+            self._may_send_at = now + SEND_AFTER_START_SECONDS
+            self._may_fold_at = now + FOLD_AFTER_START_SECONDS
         self._follow_incarnation()
         out = self._save(now)
-        if now < self._settled_at:
+        if now < self._may_send_at:
             return out
         if self._state.members.heartbeat_now:
-            out.extend(self._send_rows(self._audience()))
-            out.extend(self._compare())
+            out.extend(self._send_rows(self._row_receivers()))
+            out.extend(self._send_summary())
             self._finish_superseded()
             if now >= self._may_fold_at:
                 self._fold(now)
         elif now >= self._next_copy and self._state.members.full_mesh():
-            out.extend(self._send_rows(self._copies()))
+            out.extend(self._send_rows(self._copy_receivers()))
         else:
             return out
-        self._next_copy = now + COPY_INTERVAL
+        self._next_copy = now + COPY_INTERVAL_SECONDS
         return out
 
     def _follow_incarnation(self):
-        """Publish under the incarnation that the others go by.
+        """Publish under the incarnation by which the others know this one.
 
-        A start that found its wall clock set back takes a greater one once
-        it is told, which may be long after, where it was cut off.
+        An instance that was started with its wall clock set back raises its
+        incarnation when it learns of an earlier, greater one.  After a
+        partition that may be long after its start.
         """
         own = self._state.identity
         folded = self._ledger.folded_through(own.instance)
         if folded >= own.incarnation:
             own.incarnation = folded + 1
             self._state.members.note_own()
-        present = self._ledger.own.incarnation
-        if own.incarnation == present:
+        published = self._ledger.own.incarnation
+        if own.incarnation == published:
             return
-        if self._sent and folded < present:
+        if self._sent_versions and folded < published:
             self._ledger.succeed_own(own.incarnation)
         else:
             self._ledger.rename_own(own.incarnation)
-        self._sent.clear()
+        self._sent_versions.clear()
 
-    def _audience(self):
-        """Return whom to tell of new rows: all, or one relay.
+    def _row_receivers(self):
+        """Return the receivers of new rows: all links, or one relay.
 
-        The relays know each other's rows from comparing.  Half of the
-        instances tell the one, half the other, and each always the same:
-        another would need all rows since it was last told.
+        The relays of a domain get each other's rows by comparing.  Half of
+        the instances send to the one and half to the other, each always to
+        the same: a different relay would need all rows since the last time.
         """
         members = self._state.members
         if members.full_mesh():
@@ -110,39 +115,39 @@
         number, _ = links.place(own.instance)
         return [relays[number % len(relays)]] if relays else []
 
-    def _collects(self):
-        """Tell whether this instance holds the rows of all others."""
+    def _holds_all_rows(self):
+        """Return whether this instance holds the rows of all others."""
         members = self._state.members
         return members.full_mesh() or members.is_relay()
 
-    def _copies(self):
-        """Return two links that hold copies, in two failure domains."""
+    def _copy_receivers(self):
+        """Return two links to hold copies, in two domains if possible."""
         linked = self._state.members.links()
         domain = self._state.identity.failure_domain
         near = [item for item in linked if item.failure_domain == domain]
         far = [item for item in linked if item.failure_domain != domain]
         return [*near[:1], *far[:1]] if near and far else linked[:2]
 
-    def _send_rows(self, audience):
-        """Tell each member what was counted since it was last told."""
+    def _send_rows(self, receivers):
+        """Send each receiver the rows that changed since the last time."""
         version = self._ledger.own_version()
         out = []
-        for member in audience:
+        for member in receivers:
             key = (member.instance, member.incarnation)
-            sent = self._sent.get(key, 0)
+            sent = self._sent_versions.get(key, 0)
             if sent == version:
                 continue
             rows = self._ledger.rows_since(self._ledger.own, sent)
-            self._sent[key] = version
+            self._sent_versions[key] = version
             out.append(effects.SendPeer(member.address, rows))
         return out
 
-    def _compare(self):
-        """Tell one link in turn all that is held here.
+    def _send_summary(self):
+        """Send one random link a summary of all rows held here.
 
-        Rows that were lost, and those of instances to which this one has
-        no link, come by this way; with relays, it is how these know each
-        other's domains.
+        This transfers rows that were lost, and those of instances to which
+        this one has no link.  Relays receive the rows of the other domains
+        this way.
         """
         members = self._state.members
         linked = members.links()
@@ -155,45 +160,49 @@
         member = self._state.rng.choice(linked)
         return [effects.SendPeer(member.address, self._ledger.have())]
 
-    def _heartbeat(self, source, message, now):
+    def _handle_heartbeat(self, source, message, now):
         member = self._state.members.members[source.instance]
         same = message.usage_finished == self._ledger.finished_root()
         member.agreed = now if same else float("-inf")
         publisher = usage.Publisher(source.instance, source.incarnation)
-        if not self._collects():
+        if not self._holds_all_rows():
             return []
         if message.usage_version <= self._ledger.held_version(publisher):
             return []
-        # Rows of the same heartbeat may still be on their way; what is
-        # missing at the next one was lost.
-        if self._asked.get(publisher) != self._ledger.held_version(publisher):
-            self._asked[publisher] = self._ledger.held_version(publisher)
+        # Rows sent with this heartbeat may still be in flight.  Rows that are
+        # missing at the next heartbeat were lost.
+        if self._incomplete_versions.get(
+            publisher
+        ) != self._ledger.held_version(publisher):
+            self._incomplete_versions[publisher] = self._ledger.held_version(
+                publisher
+            )
             return []
         want = self._ledger.want(publisher)
         return [effects.SendPeer(source.address, want)]
 
-    def _rows(self, source, message, now):
+    def _handle_rows(self, source, message, now):
         if self._ledger.merge(message):
             return []
         want = self._ledger.want(message.publisher)
         return [effects.SendPeer(source.address, want)]
 
-    def _have(self, source, message, now):
+    def _handle_have(self, source, message, now):
         out = self._ledger.answer(message)
         if message.ask and self._ledger.is_behind(message):
             out.append(self._ledger.have(ask=False))
         return [effects.SendPeer(source.address, item) for item in out]
 
-    def _checkpoint(self, source, message, now):
+    def _handle_checkpoint(self, source, message, now):
         self._ledger.adopt(message)
         return []
 
     def _finish_superseded(self):
-        """Mark the publishers that count no more.
+        """Mark the publishers that no longer count as finished.
 
-        An instance that is taken for failed may only be cut off and go on
-        counting, so just a later start of it, or its own word that it
-        leaves, ends a publisher.
+        An instance that is considered failed may be partitioned and still be
+        counting.  Only a later incarnation of the instance, or its own
+        message that it leaves, finishes a publisher.
         """
         for instance, publishers in self._ledger.unfolded().items():
             *earlier, last = publishers
@@ -208,20 +217,20 @@
                 self._ledger.finish(last)
 
     def _fold(self, now):
-        """Fold once all instances have held the same for a while."""
+        """Fold finished publishers once all instances have agreed."""
         if not self._ledger.finished or not self._all_agree(now):
             self._agreed_since = None
             return
         if self._agreed_since is None:
             self._agreed_since = now
-        if now - self._agreed_since >= AGREE_SECONDS:
+        if now - self._agreed_since >= AGREEMENT_SECONDS:
             self._ledger.fold()
 
     def _all_agree(self, now):
-        """Tell whether every other instance holds the same.
+        """Return whether all other instances hold the same finished rows.
 
-        One that is taken for failed may hold rows that nobody else has, so
-        it counts until it is back or forgotten.
+        A failed instance may hold rows that no other instance has, so it is
+        waited for until it is back or has been removed from the membership.
         """
         return all(
             now - item.agreed < membership.SILENT_AFTER
@@ -229,23 +238,23 @@
             if item.standing is not LEFT
         )
 
-    def _day_began(self, event, now):
+    def _handle_day_began(self, event, now):
         self._ledger.day = event.day
         return []
 
-    def _loaded(self, event, now):
+    def _handle_loaded(self, event, now):
         self._ledger.restore(event.snapshot, event.journal)
         return []
 
     def _save(self, now):
-        if not self._keeps or now < self._next_save:
+        if not self._persists or now < self._next_save:
             return []
-        self._next_save = now + SAVE_INTERVAL
+        self._next_save = now + SAVE_INTERVAL_SECONDS
         entries = self._ledger.unsaved()
         if not entries:
             return []
-        self._journal += len(entries)
-        if self._journal < JOURNAL_LENGTH:
+        self._journal_entries += len(entries)
+        if self._journal_entries < MAX_JOURNAL_ENTRIES:
             return [effects.AppendUsage(entries)]
-        self._journal = 0
+        self._journal_entries = 0
         return [effects.ReplaceUsage(self._ledger.snapshot())]
--- a/packages/dandeliontrail/src/dandeliontrail/components/usage_windows.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/usage_windows.py
@@ -1,13 +1,18 @@
-"""The component that tells the holder of the duty what began here.
+"""The component that reports this instance's usage windows to the holder.
 
-Counts leave an instance within half a second, since those that it has not
-told are lost with it.  Windows that are not decided are told again from time
-to time, and whole to a new holder: whatever a message or a holder took with
-it comes again as long as the instance that counted lives.
+A window counts the requests that began in it.  The holder is the keeper that
+reports usage to the platform (:mod:`.duties`).
 
-Above a full mesh an instance tells the first relay of its failure domain, in
-the batch that carries its work at servers, and the relay passes on what it was
-told in one batch: the holder would else answer each instance twice a second.
+Counts are reported within half a second, since a crash of this instance loses
+the counts that it has not reported.  Windows that are not decided yet are
+reported again periodically, and completely to a new holder.  Counts that were
+lost with a message or a holder are thus sent again as long as the instance
+that counted them lives.
+
+In systems larger than a full mesh, an instance reports to the first relay of
+its failure domain, in the batch that carries its server loads.  The relay
+forwards the reports in one batch; otherwise the holder would have to answer
+each instance twice per second.
 """
 
 from .. import effects
@@ -16,71 +21,75 @@
 from ..coordination import usage_windows
 from . import duties_state
 
-TELL_INTERVAL = 0.5
-REPEAT_INTERVAL = 1.5
-# Without work at servers there is no batch to go along with for so long.
-ALONE_INTERVAL = 1.0
-# An answer may be on its way to this instance for so long before it is
-# counted in the window in which it began.
-ON_ITS_WAY = 0.05
+REPORT_INTERVAL_SECONDS = 0.5
+FULL_REPORT_INTERVAL_SECONDS = 1.5
+# A report that is due waits at most this long for a batch of server loads,
+# since an instance without work sends these less often.
+MAX_BATCH_WAIT_SECONDS = 1.0
+# A request is counted once its answer arrives here, in the window in which it
+# began.  The answer may be in flight for this long.
+COUNTING_DELAY_SECONDS = 0.05
 
 
 class UsageWindows(interfaces.Component):
-    """Counts what began here, and tells."""
+    """Reports the requests counted here, and forwards reports as a relay."""
 
     def __init__(self, state):
         self._state = state
         self._duties = state.duties
         self._counter = state.duties.counter
-        self._told = None
-        self._told_through = 0.0
-        self._next_tell = 0.0
-        self._next_repeat = 0.0
-        self._settled = None
-        # What a relay was told and has not passed on.
-        self._passing = []
+        self._reported_fencing = None
+        self._reported_through = 0.0
+        self._next_report = 0.0
+        self._next_full_report = 0.0
+        self._dropped_through = None
+        # Reports that this instance, as a relay, has yet to forward.
+        self._reports_to_forward = []
 
     def handlers(self):
-        """Return the handlers of the clock and of others' reports."""
+        """Return the handlers of the clock and of other instances' reports."""
         return {
-            events.ClockRead: self._clock_read,
-            events.Left: self._left,
-            usage_windows.WindowReport: self._pass_on,
+            events.ClockRead: self._handle_clock_read,
+            events.Left: self._handle_left,
+            usage_windows.WindowReport: self._handle_report,
         }
 
     def tick(self, now):
-        """Tell what is new, and all that is open from time to time."""
+        """Report changed windows, and periodically all undecided ones."""
         if not self._duties.options.reports_usage:
             return []
         if not self._duties.clock.known:
             return []
-        out = self._settle()
+        out = self._drop_decided()
         holding = self._state.orders.leases.holding(duties_state.SUBJECT)
         holder = self._state.members.address_of(holding.holder)
         if not holder:
-            # Who told this relay will tell again.
-            self._passing.clear()
+            # The instances that sent these reports will repeat them.
+            self._reports_to_forward.clear()
             return out
-        if holding.fencing != self._told:
-            self._told = holding.fencing
-            self._next_tell = self._next_repeat = now
-        if now < self._next_tell:
+        if holding.fencing != self._reported_fencing:
+            self._reported_fencing = holding.fencing
+            self._next_report = self._next_full_report = now
+        if now < self._next_report:
             return out
-        relay = self._relay()
-        goes_along = not relay or self._state.loads.told_relay_at == now
-        if not goes_along and now < self._next_tell + ALONE_INTERVAL:
+        relay = self._relay_address()
+        shares_batch = not relay or self._state.loads.told_relay_at == now
+        if (
+            not shares_batch
+            and now < self._next_report + MAX_BATCH_WAIT_SECONDS
+        ):
             return out
-        self._next_tell = now + TELL_INTERVAL
-        reports, self._passing = self._passing, []
-        own = self._report(now)
+        self._next_report = now + REPORT_INTERVAL_SECONDS
+        reports, self._reports_to_forward = self._reports_to_forward, []
+        own = self._make_report(now)
         if own is not None:
             reports.append(own)
         address = relay or holder
         out.extend(effects.SendPeer(address, item) for item in reports)
         return out
 
-    def _relay(self):
-        """Return the address of who passes reports on, '' for nobody."""
+    def _relay_address(self):
+        """Return the address of the relay to report to, or '' for none."""
         members = self._state.members
         if members.full_mesh():
             return ""
@@ -89,52 +98,54 @@
             return ""
         return relays[0].address
 
-    def _pass_on(self, source, message, now):
-        """Keep what an instance of the own domain told its relay."""
+    def _handle_report(self, source, message, now):
+        """Keep a report from this domain, to forward it as its relay."""
         own = self._state.identity.failure_domain
         if source.failure_domain == own and self._state.members.is_relay():
-            self._passing.append(message)
+            self._reports_to_forward.append(message)
         return []
 
-    def _left(self, event, now):
-        """Tell all that is open once more: this instance ends."""
+    def _handle_left(self, event, now):
+        """Report all undecided windows a last time before shutting down."""
         holding = self._state.orders.leases.holding(duties_state.SUBJECT)
         address = self._state.members.address_of(holding.holder)
         if not address or not self._duties.clock.known:
             return []
-        self._next_repeat = now
-        report = self._report(now)
+        self._next_full_report = now
+        report = self._make_report(now)
         return [effects.SendPeer(address, report)] if report else []
 
-    def _clock_read(self, event, now):
+    def _handle_clock_read(self, event, now):
         self._duties.clock.observe(event.wall, now)
         return []
 
-    def _report(self, now):
-        """Return what to tell, or ``None``.
+    def _make_report(self, now):
+        """Return the report to send, or ``None``.
 
-        Where nothing began the end of each window is told all the same, or
-        the holder would wait for this instance.
+        The end of each window is reported even if no request began in it;
+        otherwise the holder would wait for this instance.
         """
-        through = self._duties.clock.at(now) - ON_ITS_WAY
-        if now >= self._next_repeat:
-            self._next_repeat = now + REPEAT_INTERVAL
+        through = self._duties.clock.at(now) - COUNTING_DELAY_SECONDS
+        if now >= self._next_full_report:
+            self._next_full_report = now + FULL_REPORT_INTERVAL_SECONDS
             windows = self._counter.open_windows()
         else:
             windows = self._counter.changed()
-        ends = self._counter.window_at(through)
-        if not windows and ends <= self._counter.window_at(self._told_through):
+        current = self._counter.window_at(through)
+        if not windows and current <= self._counter.window_at(
+            self._reported_through
+        ):
             return None
-        self._told_through = through
+        self._reported_through = through
         own = self._state.identity
         return duties_state.report_of(own, through, windows)
 
-    def _settle(self):
-        """Forget what is decided, and log what came too late for it."""
+    def _drop_decided(self):
+        """Drop decided windows, and log counts that came too late for them."""
         last = self._duties.decided.last
-        if last is None or last == self._settled:
+        if last is None or last == self._dropped_through:
             return []
-        self._settled = last
+        self._dropped_through = last
         untold = self._counter.settle(last)
         if not untold:
             return []
--- a/packages/dandeliontrail/src/dandeliontrail/components/window_decisions.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/window_decisions.py
@@ -1,8 +1,10 @@
-"""When the counts of a window of usage become final, and are reported.
+"""Decides when the counts of a usage window are final, and reports them.
 
-A part of the duties component.  Guards: a window that is reported twice with
-different counts (the log decides each window once, and only then is it sent,
-as often as it takes), and a window that is late for want of one instance.
+This is a scheduler of the duties component.  It guards against a window that
+is reported twice with different counts, and against a window that is late
+because one instance has not reported.  The quorum log decides each window
+exactly once; only then is it sent, and repeated until the platform accepts
+it.
 """
 
 from .. import effects
@@ -11,18 +13,19 @@
 from . import duties_state
 from . import duty_part
 
-# A window is decided once everybody told all of it, and no sooner than this
-# after its end, by when the last tellings of a calm moment have come.
-SETTLING = 0.3
-# Instances that are cut off, or gone, are waited for this part of the time
-# in which a window is due; the rest is for its way to the platform.
-WAITING_PART = 0.7
+# A window is decided once all instances have reported it completely, but not
+# before this time after its end.  Without failures, the last reports have
+# arrived by then.
+SETTLING_SECONDS = 0.3
+# Partitioned or lost instances are waited for during this fraction of the
+# time in which a window is due.  The rest is for sending it to the platform.
+WAITING_FRACTION = 0.7
 FAILED = member_records.Standing.FAILED
 LEFT = member_records.Standing.LEFT
 
 
-class WindowDecisions(duty_part.DutyPart):
-    """Adds up what instances told, and has the log decide it."""
+class WindowDecisions(duty_part.CallScheduler):
+    """Adds up the reports of instances and has the log decide the sums."""
 
     def __init__(self, state, propose):
         self._state = state
@@ -30,80 +33,81 @@
         self._duties = state.duties
         self._options = state.duties.options
         self._propose = propose
-        self._reported = usage_windows.ReportedWindows()
-        self._deciding = False
-        self._next_call = {}
-        self._taken = set()
+        self._reports = usage_windows.ReportedWindows()
+        self._proposal_pending = False
+        self._not_before = {}
+        self._accepted_windows = set()
 
-    def told(self, report):
-        """Take in what an instance told."""
-        self._reported.merge(report)
+    def add_report(self, report):
+        """Add the report of an instance."""
+        self._reports.merge(report)
 
     def tick(self, now):
         """Propose the counts of the next window that is complete."""
         clock = self._duties.clock
         if not self._options.reports_usage or not clock.known:
             return []
-        if self._deciding:
+        if self._proposal_pending:
             return []
         moment = clock.at(now)
         decided = self._duties.decided
-        self._tell_itself(moment)
-        self._reported.settle(-1 if decided.last is None else decided.last)
+        self._add_own_report(moment)
+        self._reports.settle(-1 if decided.last is None else decided.last)
         window = self._next_window(moment)
         end = (window + 1) * self._options.window
         ended_ago = moment - end
-        if ended_ago < SETTLING:
+        if ended_ago < SETTLING_SECONDS:
             return []
-        untold = self._untold(end, now)
-        if untold and ended_ago < self._options.late * WAITING_PART:
+        unreported = self._unreported_instances(end, now)
+        if unreported and ended_ago < self._options.late * WAITING_FRACTION:
             return []
-        return self._decide(window, ended_ago, untold, now)
+        return self._decide(window, ended_ago, unreported, now)
 
-    def _decide(self, window, ended_ago, untold, now):
-        counts = self._reported.sums(window)
-        self._deciding = True
+    def _decide(self, window, ended_ago, unreported, now):
+        counts = self._reports.sums(window)
+        self._proposal_pending = True
         decision = usage_windows.WindowDecision(
-            window, counts, self._taken_through(window)
+            window, counts, self._accepted_through(window)
         )
         fields = {
             "window": window,
             "requests": sum(counts.values()),
             "organisations": len(counts),
             "ended_ago": round(ended_ago, 2),
-            "untold": untold[:8],
+            "untold": unreported[:8],
         }
         return [
             effects.Log("info", "usage window decided", fields),
-            *self._propose(decision, now, self._settled),
+            *self._propose(decision, now, self._handle_settled),
         ]
 
-    def _settled(self, settled, now):
-        self._deciding = False
+    def _handle_settled(self, settled, now):
+        self._proposal_pending = False
         return []
 
-    def _tell_itself(self, moment):
-        """Take in what began here, where a keeper serves callers too."""
+    def _add_own_report(self, moment):
+        """Add this keeper's own counts, in case it also serves callers."""
         windows = self._duties.counter.open_windows()
         if not windows:
             return
         own = self._state.identity
-        self.told(duties_state.report_of(own, moment, windows))
+        self.add_report(duties_state.report_of(own, moment, windows))
 
     def _next_window(self, moment):
         last = self._duties.decided.last
         if last is not None:
             return last + 1
         present = self._duties.counter.window_at(moment)
-        earliest = self._reported.earliest()
+        earliest = self._reports.earliest()
         return present if earliest is None else min(present, earliest)
 
-    def _untold(self, moment, now):
-        """Return who may have counted before a moment and has not told.
+    def _unreported_instances(self, moment, now):
+        """Return the instances whose reports up to a moment are missing.
 
-        Keepers serve no callers.  An instance that is taken for failed may
-        be cut off and count on, or it was killed and starts again; after a
-        while it is gone, or what it counts is late in any case.
+        Keepers serve no callers.  An instance considered failed may be
+        partitioned and still be counting, or may have been killed and be
+        starting again.  After the time in which a window is due it is
+        ignored: it is lost, or its counts would be late in any case.
         """
         keepers = self._log.voter_names()
         return [
@@ -111,43 +115,45 @@
             for name, member in self._state.members.members.items()
             if name not in keepers
             and member.standing is not LEFT
-            and not self._is_gone(member, now)
-            and not self._reported.told_through(name, moment)
+            and not self._is_lost(member, now)
+            and not self._reports.told_through(name, moment)
         ]
 
-    def _is_gone(self, member, now):
-        lately = now - member.since < self._options.late
-        return member.standing is FAILED and not lately
+    def _is_lost(self, member, now):
+        is_recent = now - member.since < self._options.late
+        return member.standing is FAILED and not is_recent
 
-    def _taken_through(self, window):
-        """Return the last window of those taken without a gap."""
+    def _accepted_through(self, window):
+        """Return the last window up to which the platform has all windows."""
         decided = self._duties.decided
         through = window - 1 if decided.taken is None else decided.taken
-        while through + 1 in self._taken:
+        while through + 1 in self._accepted_windows:
             through += 1
-        self._taken = {item for item in self._taken if item > through}
+        self._accepted_windows = {
+            item for item in self._accepted_windows if item > through
+        }
         return through
 
     # -- reporting --------------------------------------------------------
 
-    def next(self, now):
+    def next_call(self, now):
         """Return the report that is due, the oldest first."""
         counts = self._duties.decided.counts
         for window in sorted(counts):
-            due = self._next_call.get(window, 0.0)
-            if window not in self._taken and now >= due:
+            due = self._not_before.get(window, 0.0)
+            if window not in self._accepted_windows and now >= due:
                 return effects.ReportUsage(window, counts[window])
         return None
 
-    def took(self, call, now):
-        """Take note that the platform has a report."""
-        self._taken.add(call.window)
-        self._next_call.pop(call.window, None)
+    def record_accepted(self, call, now):
+        """Record that the platform accepted a report."""
+        self._accepted_windows.add(call.window)
+        self._not_before.pop(call.window, None)
 
-    def put_off(self, call, until):
-        """Report a window again at ``until``, with the same counts."""
-        self._next_call[call.window] = until
+    def retry_at(self, call, until):
+        """Have a window reported again, with the same counts, at ``until``."""
+        self._not_before[call.window] = until
 
-    def fields(self, call):
-        """Return what the log says of a report."""
+    def log_fields(self, call):
+        """Return the fields that a log line about a report contains."""
         return {"window": call.window, "requests": sum(call.counts.values())}
