--- a/packages/dandeliontrail/src/dandeliontrail/components/backend_servers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/backend_servers.py
@@ -68,8 +68,8 @@
         return self._forward(changed, now, source.instance)
 
     def _content(self, name):
-        held = self._state.registry.servers.get(name)
-        return held.content if held else None
+        current = self._state.registry.servers.get(name)
+        return current.content if current else None
 
     def _forward(self, names, now, source=""):
         """Send records of leaving servers at once, others at the next tick.
@@ -103,16 +103,18 @@
 
     def _learn(self, announcement, age, now):
         registry = self._state.registry
-        held = registry.servers.get(announcement.backend_server)
-        before = directory.signature(held.announcement) if held else None
-        epoch = held.announcement.epoch if held else None
+        previous = registry.servers.get(announcement.backend_server)
+        before = (
+            directory.signature(previous.announcement) if previous else None
+        )
+        epoch = previous.announcement.epoch if previous else None
         if not registry.learn(announcement, age, now):
             return False
         server = registry.servers[announcement.backend_server]
         if before != directory.signature(server.announcement):
             self._state.directory.invalidate()
             self._pending_effects.append(
-                _log_effect(server.announcement, held is None, age)
+                _log_effect(server.announcement, previous is None, age)
             )
         if epoch != server.announcement.epoch:
             # The process that used this address before has ended.  A request
--- a/packages/dandeliontrail/src/dandeliontrail/components/members.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/members.py
@@ -49,7 +49,7 @@
         self._next_failure_check = 0.0
         self._suspected_here = set()
         self._leaving = False
-        self._logged_reach = member_records.Reach.ALL
+        self._last_reach = member_records.Reach.ALL
         self._logged_silent_domains = set()
         self._logged_as_relay = False
 
@@ -111,9 +111,9 @@
     def _report_reach(self, now):
         """Log a change of which failure domains this instance hears from."""
         reach = self._members.reach(now)
-        if reach is self._logged_reach:
+        if reach is self._last_reach:
             return []
-        self._logged_reach = reach
+        self._last_reach = reach
         level = "info" if reach is member_records.Reach.ALL else "warning"
         return [effects.Log(level, "reach", {"reach": reach.value})]
 
@@ -190,7 +190,7 @@
             servers=state.registry.digest.root,
             usage_version=state.usage.own_version(),
             usage_finished=state.usage.finished_root(),
-            outside=self._logged_reach in REACHES_OTHER_DOMAINS,
+            outside=self._last_reach in REACHES_OTHER_DOMAINS,
             last=last,
             ask=ask,
             ends=state.ends.digest.root,
--- a/packages/dandeliontrail/src/dandeliontrail/components/orders.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/orders.py
@@ -382,8 +382,8 @@
 
     def _handle_report(self, source, report, now):
         """Store another holder's report unless a newer holder has reported."""
-        held = self._orders.reports.get(report.failure_domain)
-        if held is None or report.fencing >= held.fencing:
+        stored = self._orders.reports.get(report.failure_domain)
+        if stored is None or report.fencing >= stored.fencing:
             self._orders.reports[report.failure_domain] = report
         return []
 
--- a/packages/dandeliontrail/src/dandeliontrail/components/placements.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/placements.py
@@ -104,7 +104,7 @@
         return False
     if order.kind is model_orders.OrderKind.ROLE:
         return announcement.role == order.role
-    held = model_orders.holds(
+    is_held = model_orders.holds(
         announcement, order.model, order.version, order.adapter
     )
-    return held == (order.kind is model_orders.OrderKind.LOAD)
+    return is_held == (order.kind is model_orders.OrderKind.LOAD)
--- a/packages/dandeliontrail/src/dandeliontrail/components/renewals.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/renewals.py
@@ -79,8 +79,8 @@
         full_receiver = self._state.rng.choice(links)
         out = []
         for member in links:
-            held = self._registry.servers
-            names = held if member is full_receiver else self._renewed
+            all_servers = self._registry.servers
+            names = all_servers if member is full_receiver else self._renewed
             out.extend(self._send(member, names, now))
         return out
 
@@ -121,9 +121,9 @@
         """Send renewals to the relays of each server's failure domain."""
         by_domain = {}
         for name, source in self._renewed.items():
-            held = self._registry.servers.get(name)
-            if held:
-                domain = held.announcement.failure_domain
+            server = self._registry.servers.get(name)
+            if server:
+                domain = server.announcement.failure_domain
                 by_domain.setdefault(domain, {})[name] = source
         out = []
         for domain, names in by_domain.items():
@@ -171,8 +171,8 @@
         return [effects.SendPeer(member.address, servers.Renewals(renewals))]
 
     def _is_alive(self, name, now):
-        held = self._registry.servers.get(name)
-        return held is not None and held.expires > now
+        server = self._registry.servers.get(name)
+        return server is not None and server.expires > now
 
     def _handle_renewals(self, source, message, now):
         delay = self._state.members.delay(source, now)
--- a/packages/dandeliontrail/src/dandeliontrail/components/repair.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/repair.py
@@ -107,8 +107,8 @@
         return [effects.SendPeer(source.address, item) for item in out]
 
     def _handle_want(self, source, message, now):
-        found = self._records(message.table, message.keys, now)
-        return [effects.SendPeer(source.address, item) for item in found]
+        records = self._records(message.table, message.keys, now)
+        return [effects.SendPeer(source.address, item) for item in records]
 
     def _records(self, table, keys, now):
         keys = sorted(keys)[: dissemination.MOST_KEYS]
@@ -121,8 +121,8 @@
         return [records] if records.records else []
 
     def _member_records(self, keys):
-        found = [self._state.members.record_of(key) for key in keys]
-        return member_records.MemberRecords([item for item in found if item])
+        records = [self._state.members.record_of(key) for key in keys]
+        return member_records.MemberRecords([item for item in records if item])
 
     def _server_records(self, keys, now):
         registry = self._state.registry
--- a/packages/dandeliontrail/src/dandeliontrail/components/revisions.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/revisions.py
@@ -111,9 +111,9 @@
 
     def load(self, state):
         """Load a revision from a snapshot, unless a newer one is in force."""
-        found = msgspec.json.decode(state, type=revisions.Revision | None)
-        if found is not None and found.number > self._state.number:
-            self._state.replace(found)
+        revision = msgspec.json.decode(state, type=revisions.Revision | None)
+        if revision is not None and revision.number > self._state.number:
+            self._state.replace(revision)
 
 
 class Revisions(interfaces.Component):
--- a/packages/dandeliontrail/src/dandeliontrail/components/server_ends.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/server_ends.py
@@ -90,8 +90,8 @@
 
     def take_newly_held(self):
         """Return the fingerprints newly held back since the last call."""
-        found, self._newly_held = self._newly_held, []
-        return found
+        newly_held, self._newly_held = self._newly_held, []
+        return newly_held
 
     def ended_under(self, attempt, event, now):
         """Record that an attempt failed, possibly because its server ended.
@@ -119,10 +119,10 @@
 
     def _clear_if_served(self, fingerprint, now):
         """Clear a suspect that was served here and has enough ends."""
-        found = self._table.suspects.get(fingerprint)
+        suspect = self._table.suspects.get(fingerprint)
         if (
-            found is not None
-            and len(found.ends) >= MIN_ENDS_TO_CLEAR
+            suspect is not None
+            and len(suspect.ends) >= MIN_ENDS_TO_CLEAR
             and fingerprint in self._recently_served
         ):
             self._clear(fingerprint, now, ForwardingScope.ALL, now)
@@ -195,24 +195,26 @@
         return []
 
     def _update_held(self, fingerprint, now):
-        held = self.holds(fingerprint, now)
-        if held == (fingerprint in self._held):
+        is_held = self.holds(fingerprint, now)
+        if is_held == (fingerprint in self._held):
             return
-        if held:
+        if is_held:
             self._held.add(fingerprint)
             self._newly_held.append(fingerprint)
         else:
             self._held.discard(fingerprint)
-        self._pending_log_effects.append(self._log_effect(fingerprint, held))
+        self._pending_log_effects.append(
+            self._log_effect(fingerprint, is_held)
+        )
 
-    def _log_effect(self, fingerprint, held):
+    def _log_effect(self, fingerprint, is_held):
         """Return the log effect for a request held back or released."""
-        found = self._table.suspects[fingerprint]
+        suspect = self._table.suspects[fingerprint]
         fields = {
             "fingerprint": fingerprint,
-            "held": held,
-            "served": found.served,
-            "ended_servers": sorted(name for name, _ in found.ends),
+            "held": is_held,
+            "served": suspect.served,
+            "ended_servers": sorted(name for name, _ in suspect.ends),
             "important": True,
         }
         return effects.Log("warning", "request held back", fields)
--- a/packages/dandeliontrail/src/dandeliontrail/components/server_loads.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/server_loads.py
@@ -55,7 +55,7 @@
         reads = self._policy.take_reads()
         self._unsent_reads.extend(reads)
         if not self._state.members.full_mesh():
-            return self._send_to_relay(reads, now)
+            return self._send_through_relays(reads, now)
         loads = self._policy.own_loads()
         if not loads and not self._sent_loads and not self._unsent_reads:
             return []
@@ -87,7 +87,7 @@
             if item.instance in self._reporting_instances
         ]
 
-    def _send_to_relay(self, reads, now):
+    def _send_through_relays(self, reads, now):
         if self._is_aggregator():
             self._read_log.add(reads, self._state.identity.instance, now)
             return self._send_domain_sum(now)
--- a/packages/dandeliontrail/src/dandeliontrail/components/server_orders.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/server_orders.py
@@ -148,12 +148,12 @@
     def _set_overdue(self, group, serving, scaling):
         """Set when to repeat an order whose servers did not appear."""
         last = self._ordered.last(group)
-        given = self._accepted_at.get(group)
-        if last is None or given is None or serving >= last.count:
+        accepted_at = self._accepted_at.get(group)
+        if last is None or accepted_at is None or serving >= last.count:
             self._overdue_at.pop(group, None)
         else:
             self._overdue_at[group] = (
-                given + scaling.boot_seconds + OVERDUE_SECONDS
+                accepted_at + scaling.boot_seconds + OVERDUE_SECONDS
             )
 
     def _is_stable(self, group, count, now):
--- a/tests/common/duty_world.py
+++ b/tests/common/duty_world.py
@@ -1,9 +1,9 @@
-"""Keepers that call a platform, which judges who calls and what.
+"""A simulated network of keepers that call a platform, which checks them.
 
-Three keepers and three instances that count are pure reducers, joined by
-queues; time is a number.  A call takes its way to the platform like any
-other: the lease is asked for when the connection stands, what was sent
-arrives later, also where its sender is stopped meanwhile.
+Three keepers and at least three instances that count requests are pure
+reducers, connected by queues; time is simulated.  A call to the platform
+takes time: the lease is checked once the connection is established, and what
+was sent arrives later, even if its sender is stopped meanwhile.
 """
 
 import collections
@@ -33,8 +33,8 @@
 ORGANISATIONS = ("lab", "dock", "mine")
 
 
-class JudgingPlatform:
-    """Takes calls by the published rules and keeps what breaks them."""
+class CheckingPlatform:
+    """Accepts calls, and asserts that each one obeys the published rules."""
 
     def __init__(self):
         self.taken = {}
@@ -45,53 +45,63 @@
         self.answer = events.DutyAnswer.TAKEN
 
     def call(self, holder, fencing, call, now):
-        """Judge one call and return how it is answered."""
+        """Check one call and return the answer to it."""
         before = self.holder_of.setdefault(fencing, holder)
-        assert before == holder, f"number {fencing} of {before} and {holder}"
-        assert fencing >= self.highest, f"{fencing} after {self.highest}"
+        assert before == holder, (
+            f"fencing number {fencing} used by {before} and {holder}"
+        )
+        assert fencing >= self.highest, (
+            f"fencing number {fencing} after {self.highest}"
+        )
         self.highest = fencing
-        self._check_turns(holder, now)
+        self._check_alternation(holder, now)
         self.calls.append((now, holder))
-        told = self.taken.setdefault(call.window, call.counts)
-        assert told == call.counts, f"window {call.window} has two truths"
+        first_counts = self.taken.setdefault(call.window, call.counts)
+        assert first_counts == call.counts, (
+            f"two different reports for window {call.window}"
+        )
         self.taken_at.setdefault(call.window, now)
         return self.answer
 
-    def _check_turns(self, holder, now):
+    def _check_alternation(self, holder, now):
         lately = [name for at, name in self.calls if now - at <= TERMS.turn]
         if holder in lately:
             since = lately[lately.index(holder) :]
-            assert set(since) == {holder}, f"{holder} takes turns"
+            assert set(since) == {holder}, (
+                f"{holder} alternates with another holder"
+            )
 
 
 class DutyNetwork(pure_nodes.Network):
-    """Keepers and instances that count, and the faults that they meet.
+    """Keepers and counting instances, with fault injection.
 
-    ``each`` is how many instances count in each failure domain.
+    ``counters_per_domain`` is how many instances count in each failure domain.
     """
 
-    def __init__(self, seed=0, each=1):
+    def __init__(self, seed=0, counters_per_domain=1):
         super().__init__(seed, delay=0.004)
-        self.platform = JudgingPlatform()
+        self.platform = CheckingPlatform()
         self.disks = {}
         self.frozen = set()
-        # Seconds from a connection to the platform to the call's arrival.
-        self.slowness = 0.01
+        # Seconds that a call takes, half of them to connect.
+        self.call_seconds = 0.01
         self.unreachable = set()
         self.began = collections.defaultdict(collections.Counter)
-        self._due = []
-        self._numbers = itertools.count()
+        self._scheduled = []
+        self._serials = itertools.count()
         for name, domain in zip(KEEPERS, DOMAINS, strict=True):
             self.disks[name] = quorum_world.FakeDisk(f"folder-{name}")
             self.start(name, domain, first=True)
-        self.counting = [f"i{index}" for index in range(each * len(DOMAINS))]
+        self.counting = [
+            f"i{index}" for index in range(counters_per_domain * len(DOMAINS))
+        ]
         for index, name in enumerate(self.counting):
             self.start(name, DOMAINS[index % len(DOMAINS)], first=True)
 
     # -- processes --------------------------------------------------------
 
     def start(self, name, domain, first=False):
-        """Start a node, from its disk where it has one."""
+        """Start a node; a keeper starts from its disk."""
         self.frozen.discard(name)
         disk = self.disks.get(name)
         options = {}
@@ -108,8 +118,8 @@
             duty_options=OPTIONS,
             **options,
         )
-        # Each start has a greater incarnation than those before.
-        incarnation = (1 << 41) + next(self._numbers)
+        # Each start has a greater incarnation than all earlier ones.
+        incarnation = (1 << 41) + next(self._serials)
         node.state.identity.incarnation = incarnation
         node.state.usage.rename_own(incarnation)
         node.state.members.note_own()
@@ -121,11 +131,11 @@
         self.frozen.discard(name)
 
     def restart(self, name):
-        """Start a node that was killed under its name."""
+        """Start a killed node again under the same name."""
         self.start(name, self.nodes[name].domain)
 
     def holder(self):
-        """Return the name of the holder, as most keepers have it."""
+        """Return the name of the holder according to most keepers."""
         found = collections.Counter(
             self.nodes[name]
             .state.orders.leases.holding(duties_state.SUBJECT)
@@ -138,14 +148,14 @@
 
     def _step(self):
         super()._step()
-        while self._due and self._due[0][0] <= self.now:
-            _, _, call = heapq.heappop(self._due)
+        while self._scheduled and self._scheduled[0][0] <= self.now:
+            _, _, call = heapq.heappop(self._scheduled)
             call()
 
-    def later(self, seconds, call):
-        """Have ``call()`` made so many seconds from now."""
-        item = (self.now + seconds, next(self._numbers), call)
-        heapq.heappush(self._due, item)
+    def call_later(self, seconds, call):
+        """Schedule ``call()`` to run after ``seconds``."""
+        item = (self.now + seconds, next(self._serials), call)
+        heapq.heappush(self._scheduled, item)
 
     def _tick(self, node):
         if node.name in self.frozen:
@@ -154,11 +164,11 @@
         super()._tick(node)
 
     def apply(self, node, event):
-        """Hand an event to a node once it is not frozen."""
+        """Apply an event to a node, as soon as it is not frozen."""
         if not node.up:
             return
         if node.name in self.frozen:
-            self.later(0.1, lambda: self.apply(node, event))
+            self.call_later(0.1, lambda: self.apply(node, event))
             return
         super().apply(node, event)
 
@@ -166,11 +176,11 @@
         super()._carry_out(node, out)
         for effect in out:
             if isinstance(effect, (effects.AppendLog, effects.ReplaceLog)):
-                self._write(node, effect)
+                self._append_to_disk(node, effect)
             elif isinstance(effect, effects.PerformDuty):
                 self._connect(node, effect)
 
-    def _write(self, node, effect):
+    def _append_to_disk(self, node, effect):
         disk = self.disks[node.name]
         disk.cache.append(effect)
 
@@ -178,47 +188,50 @@
             if node.up and disk.cache and disk.cache[0] is effect:
                 self.apply(node, events.LogSynced(disk.keep()))
 
-        self.later(0.001, synced)
+        self.call_later(0.001, synced)
 
     # -- calls ------------------------------------------------------------
 
     def _connect(self, node, effect):
-        """Make a connection, which takes its share of the call's time."""
-        connecting = min(self.slowness / 2.0, TERMS.longest_call)
-        self.later(connecting, lambda: self._send_call(node, effect))
+        """Connect to the platform, which takes half of the call's time."""
+        connecting = min(self.call_seconds / 2.0, TERMS.longest_call)
+        self.call_later(connecting, lambda: self._send_call(node, effect))
 
     def _send_call(self, node, effect):
         if not node.up:
             return
         if node.name in self.frozen:
-            self.later(0.01, lambda: self._send_call(node, effect))
+            self.call_later(0.01, lambda: self._send_call(node, effect))
             return
         lease = node.state.duties.lease
         if not lease.may_send(effect.fencing, False, self.now):
             self._answer(node, effect, events.DutyAnswer.NOT_SENT)
             return
-        slow = self.slowness >= TERMS.longest_call
-        if node.name in self.unreachable or slow:
-            # Reset at the end of its time: it may have arrived by then.
+        times_out = self.call_seconds >= TERMS.longest_call
+        if node.name in self.unreachable or times_out:
+            # The connection is reset at the timeout.  By then, the call may
+            # have reached the platform.
             if node.name not in self.unreachable:
-                self._arrive_late(node, effect)
-            self._give_up(node, effect)
+                self._reach_platform_late(node, effect)
+            self._time_out(node, effect)
             return
-        self.later(self.slowness / 2.0, lambda: self._arrive(node, effect))
+        self.call_later(
+            self.call_seconds / 2.0, lambda: self._complete_call(node, effect)
+        )
 
-    def _arrive_late(self, node, effect):
+    def _reach_platform_late(self, node, effect):
         half = TERMS.longest_call / 2.0 - 0.01
-        self.later(half, lambda: self._judge(node, effect))
+        self.call_later(half, lambda: self._call_platform(node, effect))
 
-    def _give_up(self, node, effect):
+    def _time_out(self, node, effect):
         answer = events.DutyAnswer.NO_ANSWER
         rest = TERMS.longest_call / 2.0
-        self.later(rest, lambda: self._answer(node, effect, answer))
+        self.call_later(rest, lambda: self._answer(node, effect, answer))
 
-    def _arrive(self, node, effect):
-        self._answer(node, effect, self._judge(node, effect))
+    def _complete_call(self, node, effect):
+        self._answer(node, effect, self._call_platform(node, effect))
 
-    def _judge(self, node, effect):
+    def _call_platform(self, node, effect):
         return self.platform.call(
             node.name, effect.fencing, effect.call, self.now
         )
@@ -230,7 +243,7 @@
     # -- traffic ----------------------------------------------------------
 
     def begin(self, name, organisation):
-        """Let a request of an organisation begin, counted at ``name``."""
+        """Begin a request of an organisation, counted at instance ``name``."""
         node = self.nodes[name]
         duties = node.state.duties
         if not node.up or name in self.frozen or not duties.clock.known:
@@ -239,9 +252,9 @@
         duties.counter.count(organisation, moment)
         self.began[int(moment // WINDOW)][organisation] += 1
 
-    def serve(self, seconds, each_second=20):
-        """Let time pass with requests that begin at all instances."""
-        for _ in range(round(seconds * each_second)):
+    def serve(self, seconds, requests_per_second=20):
+        """Let time pass while requests begin at random instances."""
+        for _ in range(round(seconds * requests_per_second)):
             name = self.rng.choice(self.counting)
             self.begin(name, self.rng.choice(ORGANISATIONS))
-            self.run(1.0 / each_second)
+            self.run(1.0 / requests_per_second)
--- a/tests/cover/test_duty_holders.py
+++ b/tests/cover/test_duty_holders.py
@@ -1,4 +1,4 @@
-"""One keeper at a time calls the platform, whatever fails meanwhile."""
+"""At most one keeper at a time calls the platform, under all faults."""
 
 from dandeliontrail.coordination import quorum_log_voters
 from dandeliontrail import events
@@ -8,7 +8,7 @@
 
 from tests.common import duty_world
 
-# A window is due so long after its end.
+# A window is due this many seconds after its end.
 LATE = duty_world.LATE
 
 
@@ -27,7 +27,7 @@
 
 
 def check_exact(made, but=()):
-    """Check that each window was told in time, and exactly."""
+    """Check that each window was reported on time and with exact counts."""
     for window in ended_windows(made, LATE):
         if window in but:
             continue
@@ -43,8 +43,8 @@
 
 
 def test_killed_holder_is_followed_in_time_and_nothing_is_missed(made):
-    # The keeper that reports is killed and stays away.  Instances tell the
-    # next holder all that is not decided, so no window is late or wrong.
+    # The holder is killed and does not return.  Instances report all
+    # undecided windows to the next holder, so no window is late or wrong.
     made.serve(12.0)
     made.kill(made.holder())
     made.serve(40.0)
@@ -52,9 +52,9 @@
 
 
 def test_holder_that_is_cut_off_stops_before_the_next_one_begins(made):
-    # The holder is cut off from the other keepers, not from the platform: it
-    # believes to hold the duty for as long as its lease lasts.  Windows that
-    # only it has decided must not differ from those of its successor.
+    # The holder is partitioned from the other keepers, but not from the
+    # platform, and considers itself the holder until its lease expires.
+    # Windows that only it has decided must not differ from its successor's.
     made.serve(12.0)
     holder = made.holder()
     others = [name for name in made.nodes if name != holder]
@@ -67,23 +67,23 @@
 
 
 def test_frozen_holder_wakes_up_to_another_one(made):
-    # The holder stands still for eight seconds with a call on its way.  As
-    # it wakes up it must not go on with what it was about to send.
+    # The holder is paused for eight seconds during a call.  When it resumes,
+    # its lease has expired, so it must not send the call.
     made.serve(12.0)
     holder = made.holder()
-    made.slowness = 0.6
+    made.call_seconds = 0.6
     made.frozen.add(holder)
     made.serve(8.0)
     made.frozen.discard(holder)
-    made.slowness = 0.01
+    made.call_seconds = 0.01
     made.serve(30.0)
     assert len({name for _, name in made.platform.calls}) == 2
     check_exact(made)
 
 
 def test_keeper_that_cannot_reach_the_platform_hands_the_duty_over(made):
-    # The platform lies in a failure domain that the holder cannot reach,
-    # while it reaches all other keepers: nobody would take it for lost.
+    # The holder cannot reach the platform, but all other keepers.  They
+    # would never consider it failed, so it must hand over the lease itself.
     made.serve(12.0)
     holder = made.holder()
     made.unreachable.add(holder)
@@ -93,9 +93,9 @@
 
 
 def test_holder_that_is_a_keeper_no_more_is_followed(made):
-    # The holder's disk failed and another keeper took its place.  It still
-    # runs and is heard of, but acts no more: without a successor no window
-    # would be reported for good.
+    # The holder's disk failed and another instance replaced it as a keeper.
+    # It still runs and sends heartbeats, but does not act.  Without a
+    # successor, no window would ever be reported again.
     made.serve(12.0)
     holder = made.holder()
     other = next(name for name in duty_world.KEEPERS if name != holder)
@@ -109,8 +109,9 @@
 
 
 def test_instance_that_is_gone_for_good_is_not_waited_for(made):
-    # An instance was taken away without a word.  Each window waited for it
-    # until little of its time was left, for a day.
+    # An instance is lost without a message that it leaves.  Without the rule
+    # under test, each window waited for it until shortly before it was due,
+    # for as long as the failed instance was remembered, a day.
     made.serve(12.0)
     made.kill("i1")
     made.serve(50.0)
@@ -120,20 +121,20 @@
 
 
 def test_windows_are_sent_after_a_time_without_the_platform(made):
-    # The platform answers nobody for twenty seconds, and takes what it gets
-    # late.  Every window is told in the end, as it was decided.
+    # All calls time out for twenty seconds, but the platform accepts those
+    # that reach it.  In the end, every window is reported as it was decided.
     made.serve(12.0)
-    made.slowness = 5.0
+    made.call_seconds = 5.0
     made.serve(20.0)
-    made.slowness = 0.01
+    made.call_seconds = 0.01
     made.serve(20.0)
     for window in ended_windows(made, LATE):
         assert made.platform.taken[window] == dict(made.began[window])
 
 
 def test_nothing_contradicts_after_all_keepers_were_killed(made):
-    # All keepers are killed at the same moment and start from their disks:
-    # what was decided and perhaps sent is sent again unchanged.
+    # All keepers are killed at the same time and restarted from their disks.
+    # Windows that were decided, and maybe sent, are sent again unchanged.
     made.serve(13.0)
     for name in duty_world.KEEPERS:
         made.kill(name)
@@ -145,17 +146,19 @@
 
 
 def test_relays_pass_on_what_their_domains_began():
-    # Above a full mesh instances tell a relay.  One relay is stopped for
-    # good: those whose words it had not passed on tell the next one again.
-    made = duty_world.DutyNetwork(each=6)
+    # In systems larger than a full mesh, instances report to a relay.  One
+    # relay is stopped for good; the instances whose reports it had not
+    # forwarded report to the next relay again.
+    made = duty_world.DutyNetwork(counters_per_domain=6)
     made.run(4.0)
     made.serve(12.0)
     check_exact(made)
-    heard = made.nodes["i0"].state.members
-    assert not heard.full_mesh()
-    relay = heard.relays_of("fd2")[0].instance
+    members = made.nodes["i0"].state.members
+    assert not members.full_mesh()
+    relay = members.relays_of("fd2")[0].instance
     assert relay in made.counting
-    # What the relay itself counts and has not told goes with it.
+    # Counts that the relay itself has not reported are lost with it, so it
+    # stops counting before it is killed.
     made.counting.remove(relay)
     made.serve(4.0)
     made.kill(relay)
@@ -179,27 +182,27 @@
 @hypothesis.settings(max_examples=10, deadline=None)
 @hypothesis.given(STEPS, st.integers(0, 1 << 16))
 def test_the_platform_never_sees_a_rule_broken(steps, seed):
-    """Faults of all kinds overlap, and heal in any order.
+    """Overlapping faults, healed in any order, break no rule.
 
-    What a user would see of a fault: two callers that fight, or two reports
-    for one window.  The platform of this world judges each call.
+    A defect would show as two holders that contradict each other, or as two
+    different reports for one window.  The simulated platform checks each call.
     """
     made = duty_world.DutyNetwork(seed)
-    made.serve(8.0, each_second=4)
+    made.serve(8.0, requests_per_second=4)
     for fault, place, seconds in steps:
-        play(made, fault, place)
-        made.serve(seconds, each_second=4)
+        inject_fault(made, fault, place)
+        made.serve(seconds, requests_per_second=4)
     heal(made)
-    made.serve(20.0, each_second=4)
+    made.serve(20.0, requests_per_second=4)
     assert len(made.platform.taken) > 0
 
 
-def play(made, fault, place):
+def inject_fault(made, fault, place):
     name = (*duty_world.KEEPERS, *[made.holder()] * 3)[place]
     up = made.nodes.get(name) is not None and made.nodes[name].up
     if fault == "kill" and up:
         made.kill(name)
-        made.later(1.0, lambda: made.restart(name))
+        made.call_later(1.0, lambda: made.restart(name))
     elif fault == "freeze":
         made.frozen.symmetric_difference_update({name} - {""})
     elif fault == "cut" and not made.cut:
@@ -207,7 +210,7 @@
     elif fault == "cut":
         made.heal()
     elif fault == "slow":
-        made.slowness = 0.9 if made.slowness < 0.9 else 0.01
+        made.call_seconds = 0.9 if made.call_seconds < 0.9 else 0.01
     elif fault == "unreachable":
         made.unreachable.symmetric_difference_update({name})
     elif fault == "calm":
@@ -218,4 +221,4 @@
     made.heal()
     made.frozen.clear()
     made.unreachable.clear()
-    made.slowness = 0.01
+    made.call_seconds = 0.01
--- a/tests/cover/test_orders_component.py
+++ b/tests/cover/test_orders_component.py
@@ -1,4 +1,4 @@
-"""How the holder of a failure domain's orders goes about them."""
+"""The orders component as the holder of its failure domain's lease."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 class Holder:
-    """One instance alone, with engines that report what they are told."""
+    """A single instance, and engines that announce ``models``."""
 
     def __init__(self, engines=("e1",)):
         identity = dandeliontrail.Identity("i1", "fd1", "r1", 1)
@@ -25,7 +25,7 @@
         self.now = 0.0
         self.sequence = 0
         self.models = {name: {"small": "1"} for name in engines}
-        self.given = []
+        self.sent_orders = []
 
     def declare(self, **spec):
         raw = msgspec.Raw(msgspec.json.encode({"model": "medium", **spec}))
@@ -36,16 +36,18 @@
         self.apply(events.WriteSubmitted("w", change))
 
     def apply(self, event):
-        self.take(self.reducer.apply(event, self.now))
+        self.collect_orders(self.reducer.apply(event, self.now))
 
-    def take(self, out):
-        self.given += [x for x in out if isinstance(x, effects.GiveOrder)]
+    def collect_orders(self, out):
+        self.sent_orders += [
+            x for x in out if isinstance(x, effects.GiveOrder)
+        ]
 
     def run(self, seconds):
         for _ in range(int(seconds / STEP)):
             self.now += STEP
             self.announce()
-            self.take(self.reducer.tick(self.now))
+            self.collect_orders(self.reducer.tick(self.now))
 
     def announce(self):
         self.sequence += 1
@@ -61,31 +63,29 @@
             self.apply(events.Announced(made))
 
     def answer(self, answer):
-        given = self.given[-1]
-        self.apply(
-            events.OrderAnswered(given.order.key, given.fencing, answer)
-        )
+        last = self.sent_orders[-1]
+        self.apply(events.OrderAnswered(last.order.key, last.fencing, answer))
 
 
 def test_holder_does_not_take_its_own_slot_for_a_predecessors():
-    # A declared model is loaded ten seconds late.  The slot that the log
-    # granted was adopted as the load of a lost predecessor, and only the
-    # repetition of an unanswered order gave it at last.
+    # Guards against a declared model being loaded ten seconds late: the slot
+    # just granted to this holder was taken for a lost predecessor's load, so
+    # the order was sent only when unanswered orders were repeated.
     holder = Holder()
     holder.declare(version="1")
     holder.run(5.0)
-    assert len(holder.given) == 1
+    assert len(holder.sent_orders) == 1
 
 
 def test_order_without_an_answer_is_repeated_as_it_was():
     holder = Holder()
     holder.declare(version="1")
     holder.run(15.0)
-    first, second = holder.given
+    first, second = holder.sent_orders
     assert first.order == second.order
     holder.answer(events.OrderAnswer.ACCEPTED)
     holder.run(30.0)
-    assert len(holder.given) == 2
+    assert len(holder.sent_orders) == 2
 
 
 def test_refused_order_is_tried_on_another_engine():
@@ -94,23 +94,23 @@
     holder.run(5.0)
     holder.answer(events.OrderAnswer.REFUSED)
     holder.run(5.0)
-    first, second = [item.order.server for item in holder.given]
+    first, second = [item.order.server for item in holder.sent_orders]
     assert {first, second} == {"e1", "e2"}
 
 
 def test_engine_lost_in_a_load_is_replaced():
-    # The engine crashes in the middle of the load and never reports it.
+    # The engine crashes during the load and never reports the model.
     holder = Holder(["e1", "e2"])
     holder.declare(version="1")
     holder.run(5.0)
     holder.answer(events.OrderAnswer.ACCEPTED)
-    del holder.models[holder.given[0].order.server]
+    del holder.models[holder.sent_orders[0].order.server]
     holder.run(10.0)
-    assert len({item.order.server for item in holder.given}) == 2
+    assert len({item.order.server for item in holder.sent_orders}) == 2
 
 
 def test_stale_fencing_ends_the_lease():
-    # An engine has obeyed a larger number: another holder is at work.
+    # An engine has seen a greater fencing number, so another holder exists.
     holder = Holder()
     holder.declare(version="1")
     holder.run(5.0)
@@ -120,8 +120,8 @@
 
 
 def test_versions_are_judged_by_the_targets_of_their_requests():
-    # Version 2 of a model answers too late.  Without these counts a
-    # roll-out would go on to the last engine.
+    # Version 2 of a model misses its latency target.  Without these counts,
+    # its roll-out would continue to the last engine.
     state = dandeliontrail.new_reducer(
         dandeliontrail.Identity("i1", "fd1", "r1", 1), random.Random(0)
     ).state
--- a/tests/cover/test_platform_duties.py
+++ b/tests/cover/test_platform_duties.py
@@ -1,4 +1,4 @@
-"""Usage is reported once and rightly, by one keeper at a time."""
+"""One keeper decides usage windows and reports them to the platform."""
 
 import random
 
@@ -30,7 +30,7 @@
 
 
 class Keeper:
-    """One keeper with a log of its own, and a platform that takes calls."""
+    """A single keeper with its own log, and a platform that accepts calls."""
 
     def __init__(self, options=OPTIONS):
         identity = dandeliontrail.Identity("k1", "fd1", "r1", 1)
@@ -39,15 +39,15 @@
         )
         self.state = self.reducer.state
         self.now = 0.0
-        self.wall = START
+        self.time_of_day = START
         self.calls = []
         self.logs = []
         self.answer = lambda call: TAKEN
 
     def apply(self, event):
-        self.carry_out(self.reducer.apply(event, self.now))
+        self.apply_effects(self.reducer.apply(event, self.now))
 
-    def carry_out(self, out):
+    def apply_effects(self, out):
         for effect in out:
             if isinstance(effect, effects.Log):
                 self.logs.append(effect)
@@ -62,18 +62,18 @@
     def run(self, seconds):
         for _ in range(round(seconds / STEP)):
             self.now += STEP
-            self.wall += STEP
-            self.apply(events.ClockRead(self.wall))
-            self.carry_out(self.reducer.tick(self.now))
+            self.time_of_day += STEP
+            self.apply(events.ClockRead(self.time_of_day))
+            self.apply_effects(self.reducer.tick(self.now))
 
-    def hear(self, name, message):
+    def receive(self, name, message):
         sender = messages.Sender(name, f"{name}:1", "fd1", "r1", 1)
         self.apply(events.PeerMessageReceived(sender, message))
 
-    def tell(self, name, through, **counts):
-        """Let an instance tell what it began in the first window."""
+    def report_usage(self, name, through, **counts):
+        """Have an instance report its requests of the first window."""
         window = usage_windows.WindowUse(self.first_window(), counts)
-        self.hear(
+        self.receive(
             name,
             usage_windows.WindowReport(
                 usage.Publisher(name, 1), START + through, [window]
@@ -84,7 +84,7 @@
         return int(START // OPTIONS.window)
 
     def reports(self):
-        """Return what the platform took, by window."""
+        """Return the counts that the platform accepted, by window."""
         return {
             call.window: call.counts
             for _, call, answer in self.calls
@@ -95,23 +95,23 @@
 def test_each_window_is_reported_when_all_have_told():
     keeper = Keeper()
     keeper.run(1.0)
-    keeper.tell("i1", 5.1, lab=3)
-    keeper.tell("i2", 4.0, lab=1, dock=2)
+    keeper.report_usage("i1", 5.1, lab=3)
+    keeper.report_usage("i2", 4.0, lab=1, dock=2)
     keeper.run(6.0)
     assert keeper.reports() == {}
-    keeper.tell("i2", 5.2, lab=4, dock=2)
+    keeper.report_usage("i2", 5.2, lab=4, dock=2)
     keeper.run(0.5)
     assert keeper.reports() == {keeper.first_window(): {"lab": 7, "dock": 2}}
 
 
 def test_window_is_reported_in_time_without_an_instance_that_is_cut_off():
-    # A failure domain is cut off for half a minute.  Its counts cannot be
-    # had; the platform must get those of all others before the window is
-    # late, or it gets nothing for anybody.
+    # A failure domain is partitioned for half a minute, so its counts are
+    # missing.  The platform must get the counts of all others before the
+    # window is late, or it gets none at all.
     keeper = Keeper()
     keeper.run(1.0)
-    keeper.tell("i1", 5.1, lab=3)
-    keeper.tell("i2", 2.0, lab=1)
+    keeper.report_usage("i1", 5.1, lab=3)
+    keeper.report_usage("i2", 2.0, lab=1)
     keeper.run(5.0 + OPTIONS.late)
     (at, call, _), *_ = keeper.calls
     assert call.counts == {"lab": 4}
@@ -119,14 +119,14 @@
 
 
 def test_decided_window_never_changes():
-    # The holder reports a window; then a report that was held up by a cut
-    # comes.  What the platform has may not be contradicted.
+    # After the holder has reported a window, an instance's report arrives that
+    # was delayed by a partition.  The report to the platform must not change.
     keeper = Keeper()
     keeper.run(1.0)
-    keeper.tell("i1", 5.1, lab=3)
+    keeper.report_usage("i1", 5.1, lab=3)
     keeper.run(5.0)
     assert keeper.reports() == {keeper.first_window(): {"lab": 3}}
-    keeper.tell("i1", 5.2, lab=9)
+    keeper.report_usage("i1", 5.2, lab=9)
     keeper.run(3.0)
     same = [
         call.counts
@@ -137,27 +137,27 @@
 
 
 def test_report_without_an_answer_is_made_again_unchanged():
-    # The platform is slow: it takes the report and its answer is lost.  The
-    # report comes again, with the same counts, until it is answered.
+    # The platform is slow: it accepts the report, but its answer is lost.  The
+    # report is repeated with the same counts until it is answered.
     keeper = Keeper()
     keeper.run(1.0)
-    keeper.tell("i1", 5.1, lab=3)
+    keeper.report_usage("i1", 5.1, lab=3)
     keeper.answer = lambda call: events.DutyAnswer.NO_ANSWER
     keeper.run(6.0)
     keeper.answer = lambda call: TAKEN
     keeper.run(1.0)
-    told = [call.counts for _, call, _ in keeper.calls]
-    assert len(told) > 2
-    assert told.count({"lab": 3}) == len(told)
+    sent = [call.counts for _, call, _ in keeper.calls]
+    assert len(sent) > 2
+    assert sent.count({"lab": 3}) == len(sent)
     assert keeper.reports() == {keeper.first_window(): {"lab": 3}}
 
 
 def test_nothing_is_called_without_the_lease():
-    # The log cannot be reached, so that the lease cannot be renewed: the
-    # holder may have been replaced and must stay silent.
+    # The log is unreachable, so the lease cannot be renewed.  The holder may
+    # have been replaced and must not make calls.
     keeper = Keeper()
     keeper.run(1.0)
-    keeper.tell("i1", 5.1, lab=3)
+    keeper.report_usage("i1", 5.1, lab=3)
     keeper.state.duties.lease.grant = None
     keeper.state.duties.lease._asked_at = keeper.now
     keeper.run(6.0)
@@ -167,10 +167,10 @@
 def test_windows_without_requests_are_reported_as_such():
     keeper = Keeper()
     keeper.run(1.0)
-    keeper.tell("i1", 5.1, lab=1)
+    keeper.report_usage("i1", 5.1, lab=1)
     keeper.run(5.0)
     for through in (10.1, 15.1):
-        keeper.tell("i1", through, lab=1)
+        keeper.report_usage("i1", through, lab=1)
         keeper.run(5.0)
     first = keeper.first_window()
     assert keeper.reports() == {
@@ -188,25 +188,25 @@
     assert keeper.reports() == {keeper.first_window(): {"lab": 1}}
 
 
-def decided(window, counts, taken):
+def decision_of(window, counts, taken):
     return usage_windows.WindowDecision(window, counts, taken)
 
 
 def test_first_decision_of_a_window_wins():
     # Two holders propose the same window, one of them with counts that it
-    # gathered before it was cut off.
+    # collected before it was partitioned.
     table = usage_windows.DecidedWindows()
-    assert table.apply(1, decided(7, {"lab": 3}, 6)).decided
-    assert not table.apply(2, decided(7, {"lab": 2}, 6)).decided
+    assert table.apply(1, decision_of(7, {"lab": 3}, 6)).decided
+    assert not table.apply(2, decision_of(7, {"lab": 2}, 6)).decided
     assert table.counts == {7: {"lab": 3}}
-    assert not table.apply(3, decided(9, {}, 6)).decided
-    assert table.apply(4, decided(8, {}, 6)).decided
+    assert not table.apply(3, decision_of(9, {}, 6)).decided
+    assert table.apply(4, decision_of(8, {}, 6)).decided
 
 
 def test_decided_windows_survive_a_checkpoint():
     table = usage_windows.DecidedWindows()
-    table.apply(1, decided(7, {"lab": 3}, 6))
-    table.apply(2, decided(8, {"lab": 1}, 7))
+    table.apply(1, decision_of(7, {"lab": 3}, 6))
+    table.apply(2, decision_of(8, {"lab": 1}, 7))
     other = usage_windows.DecidedWindows()
     other.restore(table.snapshot())
     assert (other.last, other.taken) == (8, 7)
@@ -218,7 +218,7 @@
     st.randoms(use_true_random=False),
 )
 def test_reports_count_once_in_any_order(counted, rng):
-    """Messages are late, repeated and overtake each other."""
+    """Reports are counted once although late, repeated or reordered."""
     counters = [usage_windows.WindowCounter(5.0) for _ in range(3)]
     reports = []
     for instance, window in counted:
@@ -237,8 +237,8 @@
 
 
 def test_counts_of_an_earlier_start_stay():
-    # An instance is killed and starts again within the window: what it told
-    # before counts beside what it tells now.
+    # An instance is killed and restarted within a window.  The counts that it
+    # reported before are added to those that it reports now.
     table = usage_windows.ReportedWindows()
     for incarnation, count in ((1, 4), (2, 3)):
         publisher = usage.Publisher("i1", incarnation)
@@ -249,8 +249,8 @@
 
 @pytest.mark.parametrize("jump", [2.0, -2.0])
 def test_clock_that_jumps_and_jumps_back_moves_no_request(jump):
-    # The time of day of a machine jumps by two seconds, and back after ten.
-    # Requests that begin meanwhile belong to the window they began in.
+    # An instance's wall clock jumps by two seconds, and back after ten.
+    # Requests that begin meanwhile count in the window in which they began.
     clock = true_time.TrueTime()
     clock.observe(START, 0.0)
     clock.observe(START + 1.0 + jump, 1.0)
