--- a/packages/dandeliontrail/src/dandeliontrail/coordination/__init__.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""How instances act together: membership, records, log, usage."""
+"""Coordination of instances: membership, records, quorum log, usage."""
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/claim_entries.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/claim_entries.py
@@ -1,4 +1,8 @@
-"""What became of the requests with a key that this instance took in."""
+"""The requests with idempotency keys that this instance accepted.
+
+Each entry holds the state of a request and, after its end, the answer for
+retries.
+"""
 
 import collections
 import enum
@@ -7,14 +11,19 @@
 
 from . import claims
 
-MOST_ENTRIES = 100_000
-# Answers held for resends, in bytes: one, and all together.
-MOST_ANSWER_BYTES = 1024 * 1024
+MAX_ENTRIES = 100_000
+# Size limits of the answers kept for retries: of one, and of all together.
+MAX_ANSWER_BYTES = 1024 * 1024
 MOST_HELD_BYTES = 16 * 1024 * 1024
 
 
 class Stand(enum.Enum):
-    """How the request of a claim stands."""
+    """The state of the request that made a claim.
+
+    ``HELD``: its answer is stored; ``GONE``: it ran, but its answer is not
+    stored; ``NOT_RUN``: it did not run; ``UNKNOWN``: it may have run;
+    ``LOST``: the instance that made the claim does not know it any more.
+    """
 
     CLAIMING = "claiming"
     RUNNING = "running"
@@ -29,10 +38,11 @@
 
 
 class Entry(msgspec.Struct):
-    """One claim of this instance's own.
+    """A claim that this instance made; ``expires`` is monotonic time.
 
-    ``readers`` are the requests that wait for it: ``(address, reader)``,
-    the address empty for one of this instance.
+    ``readers`` are the requests that wait for its answer, as pairs
+    ``(address, reader)``; the address is empty for a request of this
+    instance.
     """
 
     key: str
@@ -45,27 +55,27 @@
 
 
 class Entries:
-    """All of them, bounded in number, in time and in bytes.
+    """The claims of this instance, limited in number, age and bytes.
 
-    Where the bytes run out the oldest answers go and their keys stay: a
-    resend is then told that its answer is gone, and is never run again.
+    At the byte limit the oldest answers are evicted, but their keys are
+    kept: a retry is then told that its answer is gone, and never runs again.
     """
 
     def __init__(self):
         self._by_claim = collections.OrderedDict()
         self._by_key = {}
-        self._answers = collections.OrderedDict()
-        self._bytes = 0
+        self._entries_with_answer = collections.OrderedDict()
+        self._answer_bytes = 0
 
     def __len__(self):
         return len(self._by_claim)
 
     def full(self):
-        """Tell whether no more keys can be remembered."""
-        return len(self._by_claim) >= MOST_ENTRIES
+        """Return whether the limit of entries is reached."""
+        return len(self._by_claim) >= MAX_ENTRIES
 
     def add(self, key, claim, digest, now):
-        """Remember a new claim and return its entry."""
+        """Add a new claim and return its entry."""
         entry = Entry(key, claim, digest, now + claims.CLAIM_SECONDS)
         self._by_claim[claim] = entry
         self._by_key[key] = entry
@@ -76,57 +86,61 @@
         return self._by_claim.get(claim)
 
     def of_key(self, key):
-        """Return the entry that last had a key here, or ``None``."""
+        """Return the latest entry for a key, or ``None``."""
         return self._by_key.get(key)
 
     def end(self, entry, stand, answer, now):
-        """Take note of how a request ended and return who waited."""
+        """Record how a request ended and return its waiting readers.
+
+        An answer above the size limit is not stored, and the state of the
+        entry is then ``GONE``.
+        """
         entry.stand = stand
         entry.expires = max(entry.expires, now + claims.CLAIM_SECONDS)
         self._by_claim.move_to_end(entry.claim)
         if stand is Stand.HELD:
-            self._hold(entry, answer)
+            self._store_answer(entry, answer)
         readers, entry.readers = entry.readers, set()
         return readers
 
-    def _hold(self, entry, answer):
-        if answer is None or len(answer.body) > MOST_ANSWER_BYTES:
+    def _store_answer(self, entry, answer):
+        if answer is None or len(answer.body) > MAX_ANSWER_BYTES:
             entry.stand = Stand.GONE
             return
         entry.answer = answer
-        self._answers[entry.claim] = entry
-        self._bytes += len(answer.body)
-        while self._bytes > MOST_HELD_BYTES:
-            _, oldest = self._answers.popitem(last=False)
-            self._drop(oldest)
-
-    def _drop(self, entry):
-        self._bytes -= len(entry.answer.body)
+        self._entries_with_answer[entry.claim] = entry
+        self._answer_bytes += len(answer.body)
+        while self._answer_bytes > MOST_HELD_BYTES:
+            _, oldest = self._entries_with_answer.popitem(last=False)
+            self._evict_answer(oldest)
+
+    def _evict_answer(self, entry):
+        self._answer_bytes -= len(entry.answer.body)
         entry.answer = None
         entry.stand = Stand.GONE
 
     def expire(self, now):
-        """Forget what is older than any resend is answered for."""
+        """Remove the entries that are too old to answer retries."""
         while self._by_claim:
             claim, entry = next(iter(self._by_claim.items()))
             if entry.stand in PENDING:
-                # What runs is remembered for as long as it does.
+                # The entry of an unfinished request does not expire.
                 entry.expires = now + claims.CLAIM_SECONDS
                 self._by_claim.move_to_end(claim)
                 return
             if entry.expires > now:
                 return
-            self._forget(entry)
+            self._remove(entry)
 
-    def _forget(self, entry):
+    def _remove(self, entry):
         del self._by_claim[entry.claim]
         if self._by_key.get(entry.key) is entry:
             del self._by_key[entry.key]
-        if self._answers.pop(entry.claim, None):
-            self._drop(entry)
+        if self._entries_with_answer.pop(entry.claim, None):
+            self._evict_answer(entry)
 
     def running(self):
-        """Return the entries of requests that are running."""
+        """Return the entries of the requests in state ``RUNNING``."""
         return [
             entry
             for entry in self._by_claim.values()
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/claim_votes.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/claim_votes.py
@@ -1,12 +1,13 @@
-"""One voter's memory of claims, and how it gets it back after a restart.
-
-A voter keeps its claims in memory.  After a start it may have forgotten
-some that count, so it grants nothing until more than half of a group, among
-the *other* voters and each with its memory whole, have told it all they
-hold.  Every claim that was ever granted is known to one of those (this is
-the recovery of Viewstamped Replication Revisited, Liskov and Cowling 2012,
-section 4.3).  Failing that, it waits until all claims from before its start
-have expired.  At the very first start nobody has a past to forget.
+"""The claims that a voter granted, and their recovery after a restart.
+
+A voter keeps its claims in memory only.  After a start it may have lost
+claims that are still valid, so it grants nothing until it has received all
+claims of a majority of a group, counted among the *other* voters and only
+those whose own state is complete.  Each granted claim is known to at least
+one of these (the recovery protocol of Viewstamped Replication Revisited,
+Liskov and Cowling 2012, section 4.3).  Otherwise it waits until every claim
+from before its start has expired.  At the first start of a deployment there
+is no state to recover.
 """
 
 import heapq
@@ -16,17 +17,18 @@
 
 from . import claims
 
-# 100,000 claims are about 45 MB (bench/claims.py).  A voter that is full
-# grants nothing more, since forgetting one could let its request run again.
-MOST_CLAIMS = 100_000
-PAGE = 2000
+# 100,000 claims take about 45 MB (bench/claims.py).  A voter that is full
+# grants no further claims: evicting one could let its request run twice.
+MAX_CLAIMS = 100_000
+# Claims in one recovery message.
+PAGE_SIZE = 2000
 
 
-class Held(msgspec.Struct):
-    """A granted claim; ``expires`` is on this voter's clock.
+class GrantedClaim(msgspec.Struct):
+    """A granted claim; ``expires`` is on this voter's monotonic clock.
 
-    An empty ``claim`` marks a key of which others told differently: it is
-    granted to nobody.
+    An empty ``claim`` marks a key for which other voters reported different
+    claims: this voter grants it to none of them.
     """
 
     claim: str
@@ -36,11 +38,12 @@
     expires: float = 0.0
 
 
-class _Told(msgspec.Struct):
-    """What another voter said of itself as it began to tell its claims.
+class _VoterStatus(msgspec.Struct):
+    """The status of another voter when it sent the first page of its claims.
 
-    ``started`` and ``ready`` are on this voter's clock, ``ready`` ``None``
-    where it was still recovering.
+    ``blank`` tells that it started without any earlier state.  ``started``
+    and ``ready`` are the times of its start and of its recovery, converted
+    to this voter's clock; ``ready`` is ``None`` if it was still recovering.
     """
 
     blank: bool
@@ -51,8 +54,9 @@
 class VoterTable:
     """The claims that this voter granted.
 
-    ``blank`` tells that it started with no past at all: nothing had been
-    declared, so no request can have been taken in.
+    ``blank`` tells that it started without any earlier state: no
+    configuration had been declared, so no request can have been accepted.
+    ``started`` is the time of the start on this voter's monotonic clock.
     """
 
     def __init__(self, name, voters, started, blank):
@@ -61,35 +65,38 @@
         self.digest = claims.voters_digest(voters)
         self._started = started
         self._blank = blank
-        self._held = {}
+        self._granted = {}
         self._expiries = []
-        self._told = {}
-        self._telling = {}
-        self._pages = {}
+        self._statuses = {}
+        self._first_page_statuses = {}
+        self._next_page_after = {}
         self._ready_at = None
 
     def __len__(self):
-        return len(self._held)
+        return len(self._granted)
 
     def vote(self, ask, source, now):
-        """Return this voter's answer to a claim."""
+        """Return the vote on a claim; grant or extend the claim if possible.
+
+        ``source`` is the sender of ``ask``.
+        """
         self._expire(now)
-        nothing = claims.ClaimVote(ask.key, ask.claim)
+        no_vote = claims.ClaimVote(ask.key, ask.claim)
         if ask.voters != self.digest or not self.ready(now):
-            return nothing
-        held = self._held.get(ask.key)
+            return no_vote
+        held = self._granted.get(ask.key)
         if held is None:
-            if len(self._held) >= MOST_CLAIMS:
-                return nothing
-            held = Held(
+            if len(self._granted) >= MAX_CLAIMS:
+                return no_vote
+            held = GrantedClaim(
                 ask.claim,
                 ask.digest,
                 sys.intern(source.instance),
                 sys.intern(source.address),
             )
-            self._held[ask.key] = held
+            self._granted[ask.key] = held
         if held.claim == ask.claim:
-            self._prolong(ask.key, held, now + claims.CLAIM_SECONDS)
+            self._extend(ask.key, held, now + claims.CLAIM_SECONDS)
         return claims.ClaimVote(
             ask.key,
             ask.claim,
@@ -99,25 +106,25 @@
             held.address,
         )
 
-    def _prolong(self, key, held, expires):
+    def _extend(self, key, held, expires):
         held.expires = expires
         heapq.heappush(self._expiries, (expires, key))
 
     def release(self, message):
-        """Forget a claim for which nothing was or will be run."""
-        held = self._held.get(message.key)
+        """Delete a claim whose request did not and will not run."""
+        held = self._granted.get(message.key)
         if held and held.claim == message.claim:
-            del self._held[message.key]
+            del self._granted[message.key]
 
     def _expire(self, now):
         while self._expiries and self._expiries[0][0] <= now:
             _, key = heapq.heappop(self._expiries)
-            held = self._held.get(key)
+            held = self._granted.get(key)
             if held and held.expires <= now:
-                del self._held[key]
+                del self._granted[key]
 
     def ready(self, now):
-        """Tell whether it forgot nothing that counts."""
+        """Return whether the voter has recovered and may grant claims."""
         if self._ready_at is None and self._is_recovered(now):
             self._ready_at = now
         return self._ready_at is not None
@@ -125,82 +132,87 @@
     def _is_recovered(self, now):
         if now - self._started >= claims.CLAIM_SECONDS:
             return True
-        size = min(len(self.voters), claims.LARGEST_GROUP)
+        size = min(len(self.voters), claims.MAX_GROUP_SIZE)
         others = [name for name in self.voters if name != self.name]
-        whole = [name for name in others if self._is_whole(name)]
+        complete = [name for name in others if self._has_complete_state(name)]
         if self._is_first_start(size):
             return True
-        # Groups are chosen by key: whichever it is, so many of its other
-        # members may be missing and a majority of its size is left.
+        # Groups are chosen by key.  In any group, this many of the other
+        # members may be missing and still leave a majority of the group.
         spare = (size - 1) - claims.majority(size)
-        return spare >= 0 and len(others) - len(whole) <= spare
+        return spare >= 0 and len(others) - len(complete) <= spare
 
     def _is_first_start(self, size):
-        """Tell whether the whole deployment starts for the first time.
+        """Return whether the whole deployment starts for the first time.
 
-        One with a lost disk has no past of its own either: others that
-        were ready before it started give it away.
+        A voter that lost its disk has no earlier state either.  It is
+        recognised by other voters, which were ready before it started.
         """
-        if not self._blank or len(self._told) + 1 < claims.majority(size):
+        if not self._blank or len(self._statuses) + 1 < claims.majority(size):
             return False
         return all(
-            told.blank and not _before(told.ready, self._started)
-            for told in self._told.values()
+            status.blank and not _is_before(status.ready, self._started)
+            for status in self._statuses.values()
         )
 
-    def _is_whole(self, name):
-        told = self._told.get(name)
-        if told is None:
+    def _has_complete_state(self, name):
+        status = self._statuses.get(name)
+        if status is None:
             return False
-        if told.ready is not None:
+        if status.ready is not None:
             return True
-        return told.blank and not any(
-            _before(other.ready, told.started) for other in self._told.values()
+        return status.blank and not any(
+            _is_before(other.ready, status.started)
+            for other in self._statuses.values()
         )
 
     def to_ask(self, now):
-        """Return the voters that are still to be asked for their claims.
+        """Return the voters that still have to be asked for their claims.
 
-        A vote from before this start may still be counted at first, and
-        another voter's vote that makes up a majority with it come later:
-        whoever has a past waits until that is over.
+        A vote that this voter cast before its restart may still be counted,
+        and may form a majority with a vote that another voter casts after it
+        has sent its claims.  A voter with earlier state therefore waits
+        until no such vote can be counted any more.
         """
         if self.ready(now):
             return []
-        waited = now - self._started >= claims.RECOVERY_SECONDS
-        if not (waited or self._blank):
+        delay_over = now - self._started >= claims.RECOVERY_DELAY_SECONDS
+        if not (delay_over or self._blank):
             return []
         return [
             name
             for name in self.voters
-            if name != self.name and not self._has_told_whole(name)
+            if name != self.name and not self._has_sent_recovered_state(name)
         ]
 
-    def _has_told_whole(self, name):
-        told = self._told.get(name)
-        return told is not None and told.ready is not None
+    def _has_sent_recovered_state(self, name):
+        status = self._statuses.get(name)
+        return status is not None and status.ready is not None
 
     def page_after(self, name):
-        """Return the key after which ``name`` is to go on telling."""
-        return self._pages.get(name, "")
+        """Return the key after which the next page of ``name`` starts."""
+        return self._next_page_after.get(name, "")
 
     def tell(self, ask, now):
-        """Return the page of claims that another voter asks for."""
+        """Return the page of claims that another voter asks for.
+
+        The claims are sorted by key; ``ask.after`` is exclusive.
+        """
         ready = self.ready(now)
         self._expire(now)
-        keys = sorted(key for key in self._held if key > ask.after)
+        keys = sorted(key for key in self._granted if key > ask.after)
         return claims.RecoveryTold(
             ask.incarnation,
             ask.after,
-            [self._record(key, now) for key in keys[:PAGE]],
-            len(keys) <= PAGE,
+            [self._to_record(key, now) for key in keys[:PAGE_SIZE]],
+            len(keys) <= PAGE_SIZE,
             self._blank,
             now - self._started,
             now - self._ready_at if ready else None,
         )
 
-    def _record(self, key, now):
-        held = self._held[key]
+    def _to_record(self, key, now):
+        held = self._granted[key]
         return claims.ClaimRecord(
             key,
             held.claim,
@@ -211,47 +223,48 @@
         )
 
     def learn(self, name, message, now):
-        """Take in a page that another voter told.
+        """Merge a page of claims from another voter.
 
-        What counts is how that voter stood when it began to tell: what it
-        learnt itself while telling may be missing from the pages before.
+        The status that counts is the one on the first page: claims that the
+        voter recovered itself while it sent its pages may belong on an
+        earlier page and thus be missing.
         """
         if self.ready(now) or message.after != self.page_after(name):
             return
         if not message.after:
-            self._telling[name] = _told_of(message, now)
+            self._first_page_statuses[name] = _status_of(message, now)
         for record in message.records:
-            self._learn_record(record, now)
+            self._merge_record(record, now)
         if not message.last:
-            self._pages[name] = message.records[-1].key
+            self._next_page_after[name] = message.records[-1].key
             return
-        self._pages.pop(name, None)
-        self._told[name] = self._telling.pop(name)
+        self._next_page_after.pop(name, None)
+        self._statuses[name] = self._first_page_statuses.pop(name)
 
-    def _learn_record(self, record, now):
-        held = self._held.get(record.key)
+    def _merge_record(self, record, now):
+        held = self._granted.get(record.key)
         if held is None:
-            held = Held(
+            held = GrantedClaim(
                 record.claim, record.digest, record.instance, record.address
             )
-            self._held[record.key] = held
+            self._granted[record.key] = held
         elif held.claim != record.claim:
-            # Two claims, one of which may have had this voter's vote before
-            # the restart and be granted: a vote for the other would grant
-            # that one as well.
+            # There are two claims on this key.  This voter may have voted
+            # for either before its restart, and that one may have been
+            # granted: a vote for the other could grant that one as well.
             held.claim = ""
         expires = max(held.expires, now + record.left)
-        self._prolong(record.key, held, expires)
+        self._extend(record.key, held, expires)
 
 
-def _told_of(message, now):
+def _status_of(message, now):
     ready = message.ready_for
-    return _Told(
+    return _VoterStatus(
         message.blank,
         now - message.age,
         None if ready is None else now - ready,
     )
 
 
-def _before(ready, started):
+def _is_before(ready, started):
     return ready is not None and ready < started
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/claims.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/claims.py
@@ -1,35 +1,39 @@
-"""The right to run an idempotency key once, granted by a majority.
+"""At-most-once execution of idempotency keys, by majority vote.
 
-A *claim* is one request's wish to be the only one that runs a key.  Each
-key has a group of voters, the same on every instance; a request may be
-dispatched once a majority of the group has granted its claim.  Two
-majorities of one group share a voter, and a voter grants a key once, so no
-two claims on a key are ever granted, whatever is lost, repeated or cut off.
+A *claim* is a request's bid to be the only one that runs under a key.  Each
+key has a group of voters, the same on every instance, and a request may be
+dispatched once a majority of the group has granted its claim.  Any two
+majorities of a group share a voter, and a voter grants a key to one claim
+only.  So no two claims on a key are granted, even if messages are lost or
+duplicated or the network is partitioned.
 
-The argument, the ways weighed and the costs are in docs/design/outcomes.md.
+docs/design/outcomes.md has the proof, the alternatives and the costs.
 """
 
 import hashlib
 
 import msgspec
 
-# A key is remembered for this long from its claim on.  A resend later than
-# that counts as a new request: it bounds what voters must remember.
+# How long a key is remembered after its claim.  A later retry counts as a new
+# request.  This bounds the memory of the voters.
 CLAIM_SECONDS = 1800.0
-# A claim counts only votes that reach it within this time.
+# A claim counts only the votes that arrive within this time.
 VOTE_SECONDS = 2.0
-# A voter that forgot asks the others after this long: by then no vote from
-# before its restart can still be counted, even with clocks that run apart.
-RECOVERY_SECONDS = 2 * VOTE_SECONDS + 1.0
-# Five tolerate two losses, so one may follow on the repair of another.
-LARGEST_GROUP = 5
-# 128 bits of a digest, in hex: two of 10**15 names are the same with a
-# chance of one in 10**9, and every voter keeps them in memory.
+# How long a restarted voter waits before it asks the others for their claims.
+# By then no vote from before its restart can still be counted, even if clocks
+# drift apart.
+RECOVERY_DELAY_SECONDS = 2 * VOTE_SECONDS + 1.0
+# Five voters tolerate two failures, so a second may happen while the first one
+# is being repaired.
+MAX_GROUP_SIZE = 5
+# Hex digits of a key digest (128 bits).  Any two of 10**15 keys collide with a
+# probability of one in 10**9.  It is no longer, since every voter keeps the
+# digests in memory.
 NAME_LENGTH = 32
 
 
 class StoredAnswer(msgspec.Struct):
-    """A whole answer as it was given, for resends of its key."""
+    """A complete response, kept to answer retries of its key."""
 
     status: int
     content_type: str
@@ -38,10 +42,11 @@
 
 
 class ClaimAsk(msgspec.Struct, tag="claim-ask"):
-    """May ``claim`` have ``key``?  Repeated, it prolongs the claim.
+    """Asks a voter to grant ``key`` to ``claim``, or to extend the claim.
 
-    ``voters`` is the digest of the sender's list of voters: claims that
-    count by different lists must not add up to a majority.
+    ``voters`` is the digest of the sender's voter list: votes counted under
+    different lists must not add up to a majority.  ``digest`` is that of the
+    request body.
     """
 
     key: str
@@ -51,10 +56,11 @@
 
 
 class ClaimVote(msgspec.Struct, tag="claim-vote"):
-    """The voter holds ``key`` for ``holder``, of ``instance``.
+    """A voter's reply: it has granted ``key`` to the claim ``holder``.
 
-    An empty ``holder`` is no vote at all: the voter is full, has not yet
-    recovered or counts by another list.
+    ``instance`` and ``address`` are those of the instance that made the
+    claim ``holder``.  An empty ``holder`` is an abstention: the voter is
+    full, has not recovered yet or has another voter list.
     """
 
     key: str
@@ -66,21 +72,24 @@
 
 
 class ClaimRelease(msgspec.Struct, tag="claim-release"):
-    """``claim`` was given up, and nothing was or will be run for it."""
+    """``claim`` was given up; its request did not and will not run."""
 
     key: str
     claim: str
 
 
 class AnswerAsk(msgspec.Struct, tag="answer-ask"):
-    """How does the request of ``claim`` stand?"""
+    """Asks for the state of the request that made ``claim``.
+
+    ``reader`` is the request that waits for the answer.
+    """
 
     claim: str
     reader: str
 
 
 class AnswerTold(msgspec.Struct, tag="answer-told"):
-    """How it stands, in the words of ``claim_entries.Stand``."""
+    """The reply: ``stand`` is a value of ``claim_entries.Stand``."""
 
     claim: str
     reader: str
@@ -89,7 +98,7 @@
 
 
 class ClaimRecord(msgspec.Struct):
-    """One claim that a voter granted, with ``left`` seconds to live."""
+    """A claim that a voter granted; it expires in ``left`` seconds."""
 
     key: str
     claim: str
@@ -100,7 +109,7 @@
 
 
 class RecoveryAsk(msgspec.Struct, tag="claims-recovery-ask"):
-    """A voter that may have forgotten asks for a page of claims."""
+    """Asks for a page of claims, for the recovery of a restarted voter."""
 
     incarnation: int
     voters: str
@@ -108,11 +117,11 @@
 
 
 class RecoveryTold(msgspec.Struct, tag="claims-recovery-told"):
-    """A page of the sender's claims, by key, after ``after``.
+    """A page of the sender's claims, sorted by key, after the key ``after``.
 
-    ``blank`` tells that the sender started without a past, ``age`` seconds
-    ago; it has forgotten nothing for ``ready_for`` seconds, ``None`` while
-    it is recovering itself.
+    ``last`` marks the last page.  The sender started ``age`` seconds ago;
+    ``blank`` tells that it did so without any earlier state.  It has been
+    recovered for ``ready_for`` seconds, ``None`` if it is still recovering.
     """
 
     incarnation: int
@@ -136,29 +145,29 @@
 
 
 def key_of(organisation, idempotency_key):
-    """Return the name of an organisation's key between instances."""
+    """Return the digest that identifies an organisation's key."""
     text = f"{organisation}\0{idempotency_key}"
     return hashlib.sha256(text.encode()).hexdigest()[:NAME_LENGTH]
 
 
 def voters_digest(voters):
-    """Return the digest of a list of voters, in any order."""
+    """Return the digest of a list of voters, whatever their order."""
     text = "\0".join(sorted(voters))
     return hashlib.sha256(text.encode()).hexdigest()[:16]
 
 
 def group_of(key, voters):
-    """Return the voters of ``key``: the highest by rendezvous hashing."""
-    if len(voters) <= LARGEST_GROUP:
+    """Return the voters of ``key``, chosen by rendezvous hashing."""
+    if len(voters) <= MAX_GROUP_SIZE:
         return tuple(sorted(voters))
 
     def weight(voter):
         return hashlib.sha256(f"{voter}\0{key}".encode()).digest()
 
-    chosen = sorted(voters, key=weight, reverse=True)[:LARGEST_GROUP]
+    chosen = sorted(voters, key=weight, reverse=True)[:MAX_GROUP_SIZE]
     return tuple(sorted(chosen))
 
 
 def majority(size):
-    """Return how many are more than half of ``size``."""
+    """Return the size of the smallest majority of ``size`` voters."""
     return size // 2 + 1
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/codec.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/codec.py
@@ -1,4 +1,4 @@
-"""One codec for all messages between instances: JSON, checked."""
+"""The codec of all messages between instances: JSON, with type checks."""
 
 import typing
 
@@ -70,12 +70,14 @@
 
 
 def decode(body):
-    """Return the envelope in ``body`` and how many messages it left out.
+    """Return the envelope in ``body`` and the number of skipped messages.
 
-    While releases are mixed, an instance may send what another does not
-    know.  Only that message is left out: with it would otherwise go the
-    heartbeat in the same batch, and the two would take each other for
-    failed.  Raises ``msgspec.DecodeError`` where it is no envelope at all.
+    While releases are mixed, an instance may send a message that another
+    does not know.  Only that message is skipped.  Rejecting the whole batch
+    would also drop the heartbeat in it, and the two instances would consider
+    each other failed.
+
+    Raises ``msgspec.DecodeError`` if ``body`` is not an envelope.
     """
     raw = _ENVELOPES.decode(body)
     known = []
@@ -84,5 +86,5 @@
             known.append(_MESSAGES.decode(item))
         except msgspec.ValidationError:
             continue
-    left_out = len(raw.messages) - len(known)
-    return Envelope(raw.sender, known), left_out
+    skipped = len(raw.messages) - len(known)
+    return Envelope(raw.sender, known), skipped
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/digests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/digests.py
@@ -1,34 +1,38 @@
-"""Digests by which two instances find out where their tables differ.
-
-A table that seldom changes must cost next to nothing to compare, although
-it is compared every second: 2,500 keys with their versions would be above
-60 KB, the budget of 15 seconds.  So the keys are spread over buckets, each
-bucket and the whole are the exclusive or of their entries' hashes, and a
-comparison starts from one number: equal tables stop there.
+"""Digests by which two instances find the differences of their tables.
+
+Tables are compared every second, so comparing one that seldom changes must
+cost almost nothing.  Sending 2,500 keys with their versions would take over
+60 KB, which is the byte budget of 15 seconds.  So the keys are hashed into
+buckets.  The digest of a bucket, and of the whole table, is the XOR of the
+hashes of its entries.  A comparison starts with the one number of the whole
+table and ends there if the tables are equal.
 """
 
 import hashlib
 import zlib
 
-# Two tables of 2,500 entries that differ in one meet in a bucket of forty.
+# If two tables of 2,500 entries differ in one entry, they compare the keys of
+# one bucket, which has forty entries.
 BUCKETS = 64
-# Numbers in JSON are exact up to 53 bits.
+# 48 bits: JSON numbers are exact only up to 53 bits.
 HASH_BYTES = 6
 
 
 def hash_of(data):
-    """Return a number of 48 bits that stands for the bytes ``data``."""
+    """Return a 48-bit hash of the bytes ``data``."""
     digest = hashlib.blake2b(data, digest_size=HASH_BYTES).digest()
     return int.from_bytes(digest, "big")
 
 
 def bucket_of(key):
-    """Return the bucket that ``key`` falls into, the same everywhere."""
+    """Return the bucket of ``key``, which is the same on every instance."""
     return zlib.crc32(key.encode()) % BUCKETS
 
 
 class TableDigest:
-    """The hashes of a table's entries, kept up entry by entry.
+    """The digests of a table, updated incrementally for each entry.
+
+    ``root`` is the digest of the whole table.
 
     >>> one, two = TableDigest(), TableDigest()
     >>> one.put("a", 7), one.put("b", 9)
@@ -50,19 +54,19 @@
         return sum(len(entries) for entries in self._entries)
 
     def put(self, key, value):
-        """Set the hash of an entry."""
+        """Add or replace an entry."""
         index = bucket_of(key)
-        mixed = hash_of(f"{key}/{value}".encode())
+        entry_hash = hash_of(f"{key}/{value}".encode())
         before = self._entries[index].get(key, 0)
-        self._entries[index][key] = mixed
-        self._mix(index, before ^ mixed)
+        self._entries[index][key] = entry_hash
+        self._xor(index, before ^ entry_hash)
 
     def drop(self, key):
-        """Take an entry out, if it is there."""
+        """Remove an entry if present."""
         index = bucket_of(key)
-        self._mix(index, self._entries[index].pop(key, 0))
+        self._xor(index, self._entries[index].pop(key, 0))
 
-    def _mix(self, index, change):
+    def _xor(self, index, change):
         self.buckets[index] ^= change
         self.root ^= change
 
@@ -71,7 +75,7 @@
         return [key for entries in self._entries for key in entries]
 
     def differing(self, buckets):
-        """Return the indices of the buckets that differ from ``buckets``."""
+        """Return the indices of the buckets whose digests differ."""
         return [
             index
             for index, (own, other) in enumerate(zip(self.buckets, buckets))
@@ -79,7 +83,7 @@
         ]
 
     def entries(self, indices):
-        """Return the hashes by key of the entries in some buckets."""
+        """Return the hashes of the entries in some buckets, by key."""
         out = {}
         for index in indices:
             out.update(self._entries[index])
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/dissemination.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/dissemination.py
@@ -1,23 +1,23 @@
-"""Messages that spread news and repair what the news missed.
-
-News goes at once over all links of an instance (*sync then broadcast* in
-the notes "scalable secure scuttlebutt"); whoever it is news to passes it
-on.  Messages may be lost, so once a second each link compares digests, and
-where they differ the two ends narrow the difference down: buckets, then
-keys, then records.  In place of the version vectors of those notes this
-costs one number a second while nothing changes; docs/design/membership.md
-has both measured.
+"""Messages for anti-entropy between replicated tables, and for probes.
+
+An update is sent at once over all links of an instance (*sync then
+broadcast* in the notes "scalable secure scuttlebutt"), and each instance to
+which it is new forwards it.  Messages may be lost, so once a second the two
+ends of each link compare digests.  Where these differ, they narrow the
+difference down: to buckets, then keys, then records.  Unlike the version
+vectors of those notes, this costs only one number a second while nothing
+changes; docs/design/membership.md has measurements of both.
 """
 
 import enum
 
 import msgspec
 
-# Tables up to this size are compared by their keys at once: a round trip
-# less, for at most about a kilobyte.
+# Tables up to this number of entries are compared by key without comparing
+# buckets first, which saves a round trip and costs about a kilobyte at most.
 SMALL_TABLE = 32
-# At most so many keys are compared or sent in one message, so that the
-# repair after a long partition is spread over several seconds.
+# Maximum number of keys that one message compares or sends, so that the repair
+# after a long partition is spread over several seconds.
 MOST_KEYS = 256
 
 
@@ -37,7 +37,7 @@
 
 
 class SyncKeys(msgspec.Struct, tag="sync_keys"):
-    """The hashes by key of all entries in ``buckets`` at the sender."""
+    """The hashes of the sender's entries in ``buckets``, by key."""
 
     table: Table
     buckets: list[int]
@@ -45,21 +45,24 @@
 
 
 class SyncWant(msgspec.Struct, tag="sync_want"):
-    """The sender asks for these records."""
+    """Requests the records of some keys."""
 
     table: Table
     keys: list[str]
 
 
 class Probe(msgspec.Struct, tag="probe"):
-    """``origin`` asks whether ``target`` can be reached."""
+    """Asks, on behalf of ``origin``, whether ``target`` is reachable."""
 
     target: str
     origin: str
 
 
 class ProbeAnswer(msgspec.Struct, tag="probe_answer"):
-    """``target`` answers a probe of ``origin``, through a third instance."""
+    """The answer of ``target`` to a probe of ``origin``.
+
+    It is returned through the instance that forwarded the probe.
+    """
 
     target: str
     origin: str
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/domain_silence.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/domain_silence.py
@@ -1,30 +1,34 @@
-"""When each failure domain was last heard, and which have fallen silent.
+"""Detects failure domains that have fallen silent.
 
-Silence is judged by the usual gap between two volleys of a domain's
-messages, so it adapts to how many instances speak there and how often.
+The threshold derives from the usual gap between two bursts of messages from
+a domain, so it adapts to the number of instances there and their rates.
 """
 
-# A failure domain has fallen silent once nothing was heard of any instance
-# there for so many times the usual gap between two volleys of its messages,
-# and for so long at least.  After a while the silence tells nothing more:
-# instances may all be down where servers are not.
+# A failure domain has fallen silent if nothing was heard from any instance
+# there for SILENT_GAPS times the usual gap between two bursts of its messages,
+# and for at least MIN_SILENCE_SECONDS.  After MAX_SILENCE_SECONDS the silence
+# is no evidence any more: all instances there may be down while the backend
+# servers are up.
 SILENT_GAPS = 3.0
-LEAST_SILENCE = 0.3
-MOST_SILENCE = 3.0
-# Messages closer together than this are one volley: at each heartbeat all
-# instances of a domain speak within a tick, and counted one by one they make
-# the usual gap so small that calm domains are taken for silent.
+MIN_SILENCE_SECONDS = 0.3
+MAX_SILENCE_SECONDS = 3.0
+# Messages closer together than this belong to one burst.  At each heartbeat,
+# all instances of a domain send within one tick.  If these messages were
+# counted one by one, the usual gap would become so small that domains with
+# little traffic would be considered silent.
 VOLLEY_SECONDS = 0.05
-# Until two volleys were heard: heartbeats are a second apart.
-FIRST_GAP = 1.0
-# Weight of the newest gap in the usual one.
+# The usual gap until two bursts were heard: the interval of the heartbeats.
+INITIAL_GAP_SECONDS = 1.0
+# Weight of the newest gap in the moving average.
 GAP_WEIGHT = 0.1
 
 
-class HeardDomains:
-    """The failure domains of which any instance was ever heard.
+class DomainActivity:
+    """The failure domains heard so far, with the times of their messages.
 
-    >>> heard = HeardDomains()
+    All times are seconds on this instance's monotonic clock.
+
+    >>> heard = DomainActivity()
     >>> for step in range(20):
     ...     heard.note("a", step * 0.1)
     ...     heard.note("b", step * 0.1)
@@ -33,57 +37,60 @@
     True
     """
 
-    __slots__ = ("_last", "_volleys", "_gaps")
+    __slots__ = ("_last_heard", "_burst_starts", "_usual_gaps")
 
     def __init__(self):
-        self._last = {}
-        self._volleys = {}
-        self._gaps = {}
+        self._last_heard = {}
+        self._burst_starts = {}
+        self._usual_gaps = {}
 
     def __iter__(self):
-        """Yield the names of the domains."""
-        return iter(self._last)
+        """Iterate over the names of the domains."""
+        return iter(self._last_heard)
 
     def note(self, domain, now):
-        """Take note of a message of an instance there."""
-        self._last[domain] = now
-        before = self._volleys.setdefault(domain, now)
+        """Record a message from an instance in ``domain``."""
+        self._last_heard[domain] = now
+        before = self._burst_starts.setdefault(domain, now)
         gap = now - before
         if gap < VOLLEY_SECONDS:
             return
-        self._volleys[domain] = now
-        usual = self._gaps.get(domain, gap)
-        self._gaps[domain] = usual + GAP_WEIGHT * (gap - usual)
+        self._burst_starts[domain] = now
+        usual = self._usual_gaps.get(domain, gap)
+        self._usual_gaps[domain] = usual + GAP_WEIGHT * (gap - usual)
 
     def when(self, domain):
-        """Return when a domain was last heard, ``None`` for never."""
-        return self._last.get(domain)
+        """Return when a domain was last heard, or ``None`` if never."""
+        return self._last_heard.get(domain)
 
-    def any_after(self, moment, but=""):
-        """Tell whether any domain was heard after ``moment``, save one."""
+    def any_after(self, moment, exclude=""):
+        """Return whether any domain except one was heard after ``moment``."""
         return any(
-            heard > moment for name, heard in self._last.items() if name != but
+            heard > moment
+            for name, heard in self._last_heard.items()
+            if name != exclude
         )
 
     def has_fallen_silent(self, domain, now):
-        """Tell whether a domain has just fallen silent, and others have not.
+        """Return whether a domain recently fell silent while others did not.
 
-        Where nobody is heard, the fault is with this instance.
+        If no domain is heard, the fault is at this instance.
         """
-        heard = self._last.get(domain)
+        heard = self._last_heard.get(domain)
         if heard is None:
             return False
-        usual = self._gaps.get(domain, FIRST_GAP)
-        allowed = max(LEAST_SILENCE, SILENT_GAPS * usual)
-        if not allowed < now - heard < MOST_SILENCE:
+        usual = self._usual_gaps.get(domain, INITIAL_GAP_SECONDS)
+        allowed = max(MIN_SILENCE_SECONDS, SILENT_GAPS * usual)
+        if not allowed < now - heard < MAX_SILENCE_SECONDS:
             return False
         return self.any_after(heard + allowed / 2, domain)
 
     def shift(self, seconds):
-        """Excuse all for a time in which this process stood still.
+        """Move all timestamps forward by the length of a local pause.
 
-        The pause is no gap of theirs either.
+        Otherwise the pause would count as silence of the domains, and as a
+        gap between their bursts.
         """
-        for moments in (self._last, self._volleys):
+        for moments in (self._last_heard, self._burst_starts):
             for domain in moments:
                 moments[domain] += seconds
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/downloads.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/downloads.py
@@ -1,14 +1,15 @@
-"""One budget of the weight store over all instances.
-
-The store is rate-limited: twenty cold loads at once each take twenty times
-as long, and the models of the people at the tank arrive last.  So each load
-that downloads weights needs a slot, which the quorum log hands out.  Loads
-are rare and last minutes, so that two log entries for each cost little.
-
-The table knows no time.  A slot is named after its load (server, model and
-version), and is freed when the load is reported or given up.  A successor
-of a lost holder finds the slots of its predecessor here and frees them by
-the same rule, so that the budget holds across a change of holder too.
+"""A limit on concurrent downloads from the weight store, for all instances.
+
+The store is rate-limited: with twenty cold loads at once, each takes twenty
+times as long, and the most urgently needed models may arrive last.  So each
+load that downloads weights needs a slot, which the quorum log grants.  Loads
+are rare and last minutes, so two log entries for each cost little.
+
+The table holds no times.  A slot is named after its load (server, model and
+version) and is released when the load is reported done or given up.  The
+successor of a lost lease holder finds its predecessor's slots here and
+releases them by the same rule, so the limit also holds across a change of
+holder.
 """
 
 import enum
@@ -19,17 +20,18 @@
 
 
 class DownloadStep(enum.Enum):
-    """What an entry does about a load."""
+    """Whether an entry requests or releases the slot of a load."""
 
     ASK = "ask"
     DONE = "done"
 
 
 class DownloadEntry(msgspec.Struct, tag="download"):
-    """A log entry: ask for a slot, or give back a slot or place.
+    """A log entry: requests a slot, or releases a slot or a queue place.
 
-    ``budget`` is the number of downloads at a time that the sender's
-    settings allow; ``protected`` requests go before others.
+    ``budget`` is the number of concurrent downloads that the sender's
+    settings allow; ``protected`` requests are served before others.
+    ``fencing`` is the fencing token of the failure domain's lease holder.
     """
 
     step: DownloadStep
@@ -41,7 +43,7 @@
 
 
 class Slot(msgspec.Struct):
-    """A slot in use, or a place in the line for one."""
+    """A slot in use, or a place in the queue for one."""
 
     failure_domain: str
     fencing: int
@@ -50,21 +52,25 @@
 
 
 class DownloadResult(msgspec.Struct):
-    """Whether the load may start; ``ahead`` counts those before it."""
+    """Whether the load may start, and how many are ``ahead`` in the queue."""
 
     granted: bool
     ahead: int = 0
 
 
 class DownloadState(msgspec.Struct):
-    """The table as a checkpoint holds it."""
+    """The state of the table in a checkpoint."""
 
     running: dict[str, Slot]
     line: dict[str, Slot]
 
 
 class DownloadTable:
-    """Slots in use and the line for them; a pure function of the log."""
+    """The slots in use and the queue, as a replicated state machine.
+
+    The table is a deterministic function of the log.  ``line`` is the queue,
+    in the order of arrival.
+    """
 
     __slots__ = ("running", "line")
 
@@ -73,13 +79,13 @@
         self.line = {}
 
     def apply(self, version, entry):
-        """Apply the entry that the log has at ``version``."""
+        """Apply the entry at log position ``version``."""
         if entry.step is DownloadStep.DONE:
-            return self._give_back(entry)
-        return self._ask(entry)
+            return self._release(entry)
+        return self._request(entry)
 
-    def _ask(self, request):
-        self._forget_places(request.failure_domain, request.fencing)
+    def _request(self, request):
+        self._remove_stale_places(request.failure_domain, request.fencing)
         key = slot_key(request)
         if key in self.running:
             return DownloadResult(True)
@@ -90,7 +96,7 @@
             request.protected,
         )
         self.line.setdefault(key, slot)
-        ahead = self._ahead(key)
+        ahead = self._count_ahead(key)
         if len(self.running) + ahead >= request.budget:
             return DownloadResult(False, ahead)
         del self.line[key]
@@ -102,7 +108,7 @@
         )
         return DownloadResult(True)
 
-    def _give_back(self, done):
+    def _release(self, done):
         key = slot_key(done)
         self.running.pop(key, None)
         self.line.pop(key, None)
@@ -116,8 +122,8 @@
             if slot.failure_domain == failure_domain
         ]
 
-    def _ahead(self, key):
-        """Count those in the line that are to be served before ``key``."""
+    def _count_ahead(self, key):
+        """Return how many in the queue are to be served before ``key``."""
         own = self.line[key]
         count = 0
         before = True
@@ -131,11 +137,11 @@
                 count += before
         return count
 
-    def _forget_places(self, failure_domain, fencing):
-        """Drop the places in the line of earlier holders of a domain.
+    def _remove_stale_places(self, failure_domain, fencing):
+        """Remove the queue places of earlier lease holders of a domain.
 
-        A place is only worth something to who stands there.  Left behind
-        by a holder that was lost, it would block those after it for good.
+        Only the lease holder that queued can use a place.  If the holder is
+        lost, its place would block the loads behind it for ever.
         """
         stale = [
             key
@@ -157,5 +163,5 @@
 
 
 def slot_key(item):
-    """Return the name of the slot that an entry is about."""
+    """Return the key of the slot that an entry or a slot refers to."""
     return f"{item.failure_domain}/{item.order}"
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/importance.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/importance.py
@@ -1,9 +1,10 @@
-"""What a short byte budget keeps back, and what never.
+"""Priorities of messages when the byte budget of a link is exhausted.
 
-Under a burst, or after a partition has healed, more may be due than the
-budget of bytes allows.  What ends work on a leaving server or keeps a lease
-alive must not wait behind what only improves a choice: load goes first,
-then what anti-entropy will bring anyway.
+In a burst, or after a partition has healed, more messages may be due than
+the byte budget allows.  A message that stops work on a leaving server or
+renews a lease must not wait behind one that only improves decisions.  So
+load reports are dropped first, then messages whose content anti-entropy
+repairs later.
 """
 
 import enum
@@ -16,14 +17,14 @@
 
 
 class Importance(enum.IntEnum):
-    """The lower, the longer a message is kept."""
+    """Message priorities; a message with a lower value is kept longer."""
 
     ALWAYS = 0
     REPAIRED = 1
 
 
-# Whatever loses one of these gets it through a later comparison.
-_REPAIRED = (
+# If one of these is lost, a later comparison of digests repairs the loss.
+_REPAIRED_BY_ANTI_ENTROPY = (
     dissemination.SyncBuckets,
     dissemination.SyncKeys,
     dissemination.SyncWant,
@@ -34,17 +35,17 @@
 
 
 def of(message):
-    """Return how important a message is.
+    """Return the importance of a message.
 
-    Messages that this table does not name are never kept back.
+    A message of a type that is not listed here is never held back.
     """
-    if isinstance(message, _REPAIRED):
+    if isinstance(message, _REPAIRED_BY_ANTI_ENTROPY):
         return Importance.REPAIRED
     return Importance.ALWAYS
 
 
 def without_load(message):
-    """Return a message without the load reports in it."""
+    """Return a message without its load reports."""
     if not isinstance(message, servers.Renewals):
         return message
     return servers.Renewals(
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/leases.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/leases.py
@@ -1,85 +1,90 @@
-"""Who may act alone: give orders to engines, or call the platform.
+"""Leases with fencing tokens for exclusive actions.
 
+An exclusive action is an order to an engine or a call to the platform.
 There is one lease for the orders of each failure domain and one for the
-calls to the platform; what a lease is for is its *subject*.  One instance
-holds it at a time.  The quorum log decides who: :class:`LeaseTable` is
-applied entry by entry on every instance, and the fencing number of a holder
-is the log position at which it took over, so that it grows with every holder.
+calls to the platform; what a lease covers is its *subject*.  At any time a
+lease has at most one holder, which the quorum log decides:
+:class:`LeaseTable` is a state machine that every instance applies entry by
+entry.  The fencing token of a holder is the log position at which it took
+over, so each new holder has a greater one.
 
-The log has no clock, so the table knows no time.  Time is counted twice, by
-those who need it, each on its own monotonic clock:
+The log has no clock, so the table holds no times.  The duration of a lease
+is measured twice, each time on the monotonic clock of the instance concerned:
 
-* the holder counts its lease from *before* it asked.  Whatever the log took
-  to answer is lost to the holder, never to its successor;
-* a successor counts from when it learnt of its own grant, which is after
-  every grant of its predecessor was asked for.
+* the holder measures it from *before* it sent its request, so the time that
+  the log takes to answer shortens its own lease and not its successor's wait;
+* a successor measures it from when it learnt of its own grant, which is later
+  than the request for any grant of its predecessor.
 
 Hence the predecessor has stopped before the successor starts, whatever
-their clocks show, as long as they run at rates that differ by less than
-:data:`CLOCK_ERROR`.  This is the argument of Gray and Cheriton ("Leases",
-SOSP 1989) with the fencing number of Burrows ("The Chubby lock service",
-OSDI 2006) on top, for the engines that look at it.
+their clocks show, as long as the rates of the clocks differ by less than
+:data:`MAX_CLOCK_RATE_ERROR`.  This is the argument of Gray and Cheriton
+("Leases", SOSP 1989).  In addition, fencing tokens as in Burrows ("The Chubby
+lock service", OSDI 2006) protect the engines that check them.
 """
 
 import msgspec
 
 from .. import invariants
 
-# How long a grant lasts, in seconds.  A shorter lease finds a new holder
-# sooner after a loss; a longer one asks less often.  Loading a model takes
-# minutes, so that half a minute without an order giver costs little.
+# Duration of a grant, in seconds.  A shorter lease is taken over sooner after
+# its holder fails; a longer one needs fewer renewals.  Loading a model takes
+# minutes, so half a minute without a lease holder costs little.
 LEASE = 20.0
-# An order is under way for this long at most; then its connection is reset,
-# which also drops what the kernel has not sent yet.
-LONGEST_ORDER = 5.0
-# Two monotonic clocks differ in rate by less than this part: crystal
-# oscillators stay within a hundredth of it.
-CLOCK_ERROR = 0.01
-# A holder with work to do asks again when this part of its lease is left.
+# Timeout of an order, in seconds.  After it the connection is reset, which
+# also discards what the kernel has not sent yet.
+MAX_ORDER_SECONDS = 5.0
+# Upper bound of the relative difference in rate of two monotonic clocks.
+# Crystal oscillators stay within a hundredth of it.
+MAX_CLOCK_RATE_ERROR = 0.01
+# A holder with work to do renews its lease when less than this fraction of it
+# is left.
 RENEW_BELOW = 0.5
 
 
 class LeaseTerms(msgspec.Struct, frozen=True):
-    """What holds for the leases of one kind of subject, in seconds.
-
-    ``lease`` is how long a grant lasts and ``longest_call`` how long what it
-    allows may be under way.  ``turn`` guards those who look at nothing but
-    the order of calls: within so long, nobody acts, is followed by another
-    and acts again.  ``by_keepers`` tells that only keepers hold the lease:
-    they end with the log that they keep, so that the first holder by a log
-    follows nobody.
+    """The parameters of the leases of one kind of subject, in seconds.
+
+    ``lease`` is the duration of a grant and ``longest_call`` the timeout of
+    an order or call made under it.  ``turn`` protects receivers that see
+    only the sequence of calls: it is the least time between two calls of one
+    instance with a call of another in between.  ``by_keepers`` tells that
+    only keepers hold the lease.  A keeper's leases end with the log that it
+    stores, so the first holder in a log has no predecessor.
     """
 
     lease: float = LEASE
-    longest_call: float = LONGEST_ORDER
+    longest_call: float = MAX_ORDER_SECONDS
     turn: float = 0.0
     by_keepers: bool = False
 
     def wait(self):
-        """Return how long a new holder waits before it acts.
+        """Return how long a new holder waits before it acts, in seconds.
 
-        Its predecessor's last call is over by then.  With a wait of lease,
-        call and ``x`` an instance that acts again after another was granted
-        the lease at least wait less lease after that one, hence acts at
-        least call and twice ``x`` after its own last call.
+        By then the last call of its predecessor is over.  Let the wait be
+        ``lease + longest_call + x``.  An instance that regains the lease
+        after another one acted was granted it at least ``wait - lease``
+        after that one's grant, so it acts at least ``longest_call + 2 * x``
+        after its own previous call.
         """
-        spare = max(0.0, self.turn - self.longest_call) / 2.0
-        seconds = self.lease + self.longest_call + spare
-        return seconds * (1.0 + CLOCK_ERROR)
+        extra_wait = max(0.0, self.turn - self.longest_call) / 2.0
+        seconds = self.lease + self.longest_call + extra_wait
+        return seconds * (1.0 + MAX_CLOCK_RATE_ERROR)
 
 
 ORDER_TERMS = LeaseTerms()
 
 
 class LeaseRequest(msgspec.Struct, tag="lease"):
-    """A log entry: ``holder`` asks for the lease of a subject.
+    """A log entry: ``holder`` requests or renews the lease of a subject.
 
-    Its subject is written as ``failure_domain``.
+    The subject is serialised as ``failure_domain``.
 
-    ``replaces`` is the fencing number that it takes for the present one:
-    of several that ask to replace the same holder, the log grants the
-    first and refuses the rest.  ``incarnation`` tells a restarted holder,
-    which no longer knows what it had under way, from the one before.
+    ``replaces`` is the fencing token that the requester believes to be the
+    current one (a compare-and-swap): of several requests to replace the same
+    holder, the log grants the first and refuses the rest.  ``incarnation``
+    distinguishes a restarted holder, which no longer knows which orders it
+    had in flight, from its earlier process.
     """
 
     subject: str = msgspec.field(name="failure_domain")
@@ -89,7 +94,7 @@
 
 
 class Holding(msgspec.Struct):
-    """Who holds the lease of a subject, by the log."""
+    """The holder of a subject's lease, as decided by the log."""
 
     holder: str = ""
     incarnation: int = 0
@@ -97,10 +102,10 @@
 
 
 class LeaseResult(msgspec.Struct):
-    """What the log said to a request.
+    """The result of applying a lease request.
 
-    ``holding`` is the one in force after it, ``taken_over`` whether it
-    changed hands with this entry.
+    ``holding`` is the holder after this entry; ``taken_over`` tells whether
+    this entry changed it.
     """
 
     granted: bool
@@ -109,7 +114,10 @@
 
 
 class LeaseTable:
-    """The holders of all subjects; a pure function of the log."""
+    """The lease holders of all subjects, as a replicated state machine.
+
+    The table is a deterministic function of the log.
+    """
 
     __slots__ = ("holdings",)
 
@@ -117,24 +125,30 @@
         self.holdings = {}
 
     def holding(self, subject):
-        """Return who holds the lease of a subject."""
+        """Return the holder of a subject's lease.
+
+        The holder is empty and its fencing token 0 if there is none.
+        """
         return self.holdings.get(subject) or Holding()
 
     def apply(self, version, request):
-        """Apply the request that the log has at ``version``."""
-        present = self.holding(request.subject)
-        if _same_holder(present, request):
-            return LeaseResult(True, False, present)
-        if request.replaces != present.fencing:
-            return LeaseResult(False, False, present)
+        """Apply the request at log position ``version``.
+
+        Raises ``InvariantBroken`` if the fencing token would not grow.
+        """
+        current = self.holding(request.subject)
+        if _is_renewal(current, request):
+            return LeaseResult(True, False, current)
+        if request.replaces != current.fencing:
+            return LeaseResult(False, False, current)
         invariants.check(
-            version > present.fencing,
+            version > current.fencing,
             "fencing-grows",
-            f"{version} after {present.fencing}",
+            f"{version} after {current.fencing}",
         )
-        taken = Holding(request.holder, request.incarnation, version)
-        self.holdings[request.subject] = taken
-        return LeaseResult(True, True, taken)
+        new_holding = Holding(request.holder, request.incarnation, version)
+        self.holdings[request.subject] = new_holding
+        return LeaseResult(True, True, new_holding)
 
     def snapshot(self):
         """Return the state for a checkpoint."""
@@ -145,20 +159,20 @@
         self.holdings = msgspec.convert(holdings, dict[str, Holding])
 
 
-def _same_holder(present, request):
+def _is_renewal(current, request):
     return (
-        present.fencing > 0
-        and present.holder == request.holder
-        and present.incarnation == request.incarnation
+        current.fencing > 0
+        and current.holder == request.holder
+        and current.incarnation == request.incarnation
     )
 
 
 class Grant(msgspec.Struct):
-    """A lease as its holder counts it, on its own monotonic clock.
+    """A granted lease, in times of the holder's monotonic clock.
 
-    ``valid_until`` ends it.  ``unchecked_from`` is when the first order
-    may go to a server that does not check fencing numbers; those that do
-    refuse the predecessor's orders by themselves.
+    The lease ends at ``valid_until``.  ``unchecked_from`` is the earliest
+    time of an order to a server that does not check fencing tokens; servers
+    that do reject the orders of the predecessor by themselves.
     """
 
     fencing: int
@@ -167,9 +181,10 @@
 
 
 class LeaseHolder:
-    """One instance's side of a lease; the subject is its failure domain.
+    """The holder's side of a lease, on one instance.
 
-    Another ``subject`` may be named, with ``terms`` of its own.
+    The subject is the instance's failure domain unless ``subject`` names
+    another; ``terms`` are the parameters of its leases.
     """
 
     __slots__ = (
@@ -189,37 +204,39 @@
         self._asked_at = None
         self._replaces = 0
 
-    def ask(self, present, now):
-        """Return the request to put into the log, at ``now``.
+    def ask(self, current, now):
+        """Return the request to append to the log at ``now``.
 
-        Only one is under way at a time: the moment it was asked at is what
-        the lease counts from, and must not be mistaken for another's.
+        Only one request may be in flight: the lease is measured from the
+        time of its request, which must not be confused with another's.
         """
         self._asked_at = now
-        self._replaces = present.fencing
+        self._replaces = current.fencing
         return LeaseRequest(
             self._subject or self._identity.failure_domain,
             self._identity.instance,
             self._identity.incarnation,
-            present.fencing,
+            current.fencing,
         )
 
     def asking(self):
-        """Tell whether a request is under way."""
+        """Return whether a request is in flight."""
         return self._asked_at is not None
 
     def answered(self, result, now):
-        """Take in the log's answer, or ``None`` where there is none.
+        """Record the result of the request, ``None`` if there is none.
 
-        Without an answer the request may still be granted later; then the
-        log names this instance, and the next request finds that out.
+        A request without a result may still be granted later.  The log then
+        names this instance as the holder, which the next request detects.
         """
         asked_at = self._asked_at
         self._asked_at = None
         if result is None or not result.granted:
             self.grant = None
             return
-        valid_until = asked_at + self.terms.lease * (1.0 - CLOCK_ERROR)
+        valid_until = asked_at + self.terms.lease * (
+            1.0 - MAX_CLOCK_RATE_ERROR
+        )
         unchecked_from = self._unchecked_from(result, now)
         self.grant = Grant(result.holding.fencing, valid_until, unchecked_from)
 
@@ -229,35 +246,35 @@
             return held.unchecked_from
         if self.terms.by_keepers and result.taken_over and not self._replaces:
             return now
-        # A grant that is not a renewal of the one in hand may follow
-        # another holder, or this instance's own earlier lease of which an
-        # order is still under way.  Wait out both.
+        # A grant that does not renew the current one may succeed another
+        # holder, or an earlier lease of this instance whose last order is
+        # still in flight.  The wait covers both cases.
         return now + self.terms.wait()
 
     def superseded(self, holding):
-        """Give up the lease when the log names another holder."""
+        """Drop the grant if the log names a holder with another token."""
         if self.grant and self.grant.fencing != holding.fencing:
             self.grant = None
 
     def renewal_due(self, now):
-        """Tell whether a holder with work to do should ask again."""
+        """Return whether a holder with work to do should renew its lease."""
         if self.grant is None:
             return True
         left = self.grant.valid_until - now
         return left < self.terms.lease * RENEW_BELOW
 
     def may_order(self, checks_fencing, now):
-        """Tell whether an order, or a call, may be sent at ``now``.
+        """Return whether an order or a call may be sent at ``now``.
 
-        It is asked at the last moment before sending, after the connection
-        stands, so that a pause of the process before it is noticed.
+        Check this immediately before sending, after the connection is
+        established, so that an earlier pause of the process is detected.
         """
         if self.grant is None or now >= self.grant.valid_until:
             return False
         return checks_fencing or now >= self.grant.unchecked_from
 
     def may_send(self, fencing, checks_fencing, now):
-        """Tell whether what was decided under ``fencing`` may go out still."""
+        """Return whether an action decided under ``fencing`` may be sent."""
         return (
             self.grant is not None
             and self.grant.fencing == fencing
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/links.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/links.py
@@ -1,35 +1,37 @@
-"""Which other instances an instance keeps in touch with.
-
-Up to ``FULL_MESH`` instances every pair is linked: nine instances need
-eight links each, news arrives in one hop, and no instance has a part that
-others depend on.
-
-Above it that costs too much: at 530 instances and 2,500 backend servers,
-renewals of leases alone would be above 100 KB a second for each instance,
-whichever way they are flooded (docs/design/membership.md has the figures).
-So each failure domain has two *relays*, the first of its instances in the
-order of hashed names that are not silent.  Instances are linked to the
-relays of their domain, and all relays to each other.  Every instance works
-this out from its own member table; where tables differ for a moment, there
-are more links than needed, not fewer.
+"""The overlay topology: which instances exchange heartbeats and updates.
+
+Up to ``MAX_FULL_MESH`` instances, every pair is linked.  Nine instances need
+eight links each, updates arrive in one hop, and no instance has a special
+role that others depend on.
+
+For more instances a full mesh costs too much: with 530 instances and 2,500
+backend servers, lease renewals alone would exceed 100 KB a second for each
+instance, by any way of flooding (docs/design/membership.md has the figures).
+So each failure domain has two *relays*, the first two of its instances, in
+the order of their hashed names, that are not silent.  Instances are linked to
+the relays of their domain, and all relays to each other.  Every instance
+computes this from its own member table; while tables differ, there are more
+links than needed, not fewer.
 """
 
 import msgspec
 
 from . import digests
 
-# A full mesh costs one request a second on each pair: at 16 instances that
-# is 15 requests a second each, about what one request in flight costs.
-FULL_MESH = 16
-# One may fail before the others notice; more would cost each instance more
-# and 23 instances at most may be set aside at ten failure domains.
-RELAYS = 2
+# A full mesh costs one request a second for each pair.  With 16 instances that
+# is 15 requests a second for each, about the cost of one request in flight.
+MAX_FULL_MESH = 16
+# Relays of one failure domain.  With two, one may fail before the others
+# notice.  More would cost each instance more, and with ten failure domains at
+# most 23 instances may be set aside as relays.
+RELAYS_PER_DOMAIN = 2
 
 
 class Links(msgspec.Struct):
-    """The links of one instance, by name; no relays in a full mesh.
+    """The links of one instance.
 
-    ``relays`` has the names of the relays by failure domain.
+    ``names`` are the instances that it is linked to.  ``relays`` has the
+    names of the relays by failure domain and is empty in a full mesh.
     """
 
     names: set
@@ -38,17 +40,18 @@
 
 
 def place(name):
-    """Return where a name stands in the order, the same everywhere."""
+    """Return the sort key of a name, which is the same on every instance."""
     return (digests.hash_of(name.encode()), name)
 
 
 def choose(own, domain, domain_of, silent=()):
     """Return the links of the instance ``own`` in ``domain``.
 
-    ``domain_of`` has the failure domain of every other instance by name;
-    those in ``silent`` stay linked but are no relays.
+    ``domain_of`` maps the name of every other instance to its failure
+    domain.  Instances in ``silent`` stay linked but are not made relays,
+    unless all instances of their domain are silent.
     """
-    if len(domain_of) < FULL_MESH:
+    if len(domain_of) < MAX_FULL_MESH:
         return Links(set(domain_of), {}, False)
     relays = _relays({**domain_of, own: domain}, silent)
     is_relay = own in relays[domain]
@@ -68,7 +71,7 @@
         by_domain.setdefault(domain_of[name], []).append(name)
     return {
         domain: ([name for name in names if name not in silent] or names)[
-            :RELAYS
+            :RELAYS_PER_DOMAIN
         ]
         for domain, names in by_domain.items()
     }
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/member_records.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/member_records.py
@@ -1,4 +1,4 @@
-"""Records of instances, as they are held and as they cross the wire."""
+"""Records of instances, as stored in the member table and on the wire."""
 
 import enum
 
@@ -6,7 +6,11 @@
 
 
 class Standing(enum.Enum):
-    """What is known of an instance, the stronger claim later."""
+    """The status of an instance.
+
+    At the same incarnation and refutations, a later one overrides an earlier
+    one.
+    """
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -18,7 +22,7 @@
 
 
 class MemberRecord(msgspec.Struct, array_like=True):
-    """What one instance tells others about an instance."""
+    """The information about an instance that instances exchange."""
 
     instance: str
     address: str
@@ -29,13 +33,13 @@
     standing: Standing = Standing.ALIVE
 
     def order(self):
-        """Return the key by which the greater record wins."""
+        """Return the sort key; the record with the greatest one wins."""
         rank = _RANK[self.standing]
         return (self.incarnation, self.refutations, rank)
 
 
 class MemberRecords(msgspec.Struct, tag="members"):
-    """Records of instances that the sender holds."""
+    """Member records from the sender's table."""
 
     records: list[MemberRecord]
 
@@ -44,15 +48,17 @@
 
 
 class Member(msgspec.Struct):
-    """Another instance as it is seen from here.
-
-    ``heard`` is when it was last heard directly, ``since`` when its
-    standing last changed, both on this instance's clock.  ``outside`` is
-    whether it says that it hears other failure domains.  ``linked`` tells
-    whether it sends heartbeats here.  ``offset`` is the least difference
-    seen between this clock and its own in this period, ``offset_before``
-    that of the period before.  ``agreed`` is when its table of finished
-    usage was last the same as ours.
+    """The local view of another instance.
+
+    ``heard`` is when it was last heard directly and ``since`` when its record
+    last changed, both on this instance's monotonic clock.  ``applied`` is the
+    configuration version in force there.  ``outside`` tells whether it
+    reports that it hears other failure domains, ``linked`` whether it sends
+    heartbeats to this instance.  ``probed`` is when others were asked to
+    probe it, ``None`` if they were not.  ``offset`` is the smallest
+    difference between this clock and its own in the current period,
+    ``offset_before`` that in the previous one.  ``agreed`` is when its table
+    of finished usage last equalled the local one.
     """
 
     record: MemberRecord
@@ -78,12 +84,12 @@
 
     @property
     def failure_domain(self):
-        """The failure domain it runs in."""
+        """The failure domain that it runs in."""
         return self.record.failure_domain
 
     @property
     def region(self):
-        """The region it runs in."""
+        """The region that it runs in."""
         return self.record.region
 
     @property
@@ -93,16 +99,16 @@
 
     @property
     def standing(self):
-        """What is known of it."""
+        """Its status, as far as known."""
         return self.record.standing
 
     def gone(self):
-        """Tell whether it has left or is taken for failed."""
+        """Return whether it has left or is considered failed."""
         return self.record.standing in GONE
 
 
 class Change(enum.Enum):
-    """What happened to a member, for other components to see."""
+    """The kinds of member changes that other components are told of."""
 
     JOINED = "joined"
     RESTARTED = "restarted"
@@ -113,7 +119,10 @@
 
 
 class Reach(enum.Enum):
-    """How far an instance hears; the widest is not told apart further."""
+    """How much of the deployment an instance can hear.
+
+    ``ALL`` means any majority of the instances, not only all of them.
+    """
 
     NOBODY = "nobody"
     OWN_DOMAIN = "own_failure_domain"
@@ -122,7 +131,7 @@
 
 
 class MemberChange(msgspec.Struct):
-    """One change to the member table."""
+    """A change to the member table."""
 
     instance: str
     change: Change
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/membership.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/membership.py
@@ -1,10 +1,11 @@
-"""Which other instances there are, where, and whether they can be reached.
-
-The member table is a join of records: each instance's record is ordered by
-``(incarnation, refutations, standing)`` and the greater wins, so that
-records may arrive repeated, late and in any order (Das, Gupta and Motivala,
-"SWIM", 2002; Dadgar, Phillips and Currey, "Lifeguard", 2017).  An instance
-starts from a few seed addresses and learns the rest from other instances.
+"""The member table: known instances, their locations and reachability.
+
+The table is a state-based CRDT.  The records of an instance are totally
+ordered by ``(incarnation, refutations, standing)`` and the greatest one wins,
+so records may arrive duplicated, late and in any order (Das, Gupta and
+Motivala, "SWIM", 2002; Dadgar, Phillips and Currey, "Lifeguard", 2017).  An
+instance starts from a few seed addresses and discovers the rest from other
+instances.
 """
 
 import msgspec
@@ -19,39 +20,46 @@
 MemberRecord = member_records.MemberRecord
 Reach = member_records.Reach
 Standing = member_records.Standing
-# Heartbeats go out once a second on each link.
+# Seconds between two heartbeats on each link.
 HEARTBEAT_INTERVAL = 1.0
-# Three missed heartbeats and a half make a linked instance silent; others
-# are asked whether they can reach it a second sooner.
+# A linked instance counts as unreachable after 3.5 missed heartbeats.  One
+# second earlier, other instances are asked to probe it.
 SILENT_AFTER = 3.5
 PROBE_AFTER = 2.5
-# Above a full mesh, relays that missed a heartbeat are replaced.
-RELAY_SILENT_AFTER = 1.6
-# How long a suspected instance has to refute.  News takes well under a
-# second, so this allows for a few lost messages.
+# Where relays are used, a relay that missed a heartbeat is replaced.
+RELAY_SILENT_AFTER_SECONDS = 1.6
+# How long a suspected instance has to refute the suspicion.  An update
+# reaches everyone in well under a second, so this allows for the loss of a
+# few messages.
 SUSPICION_SECONDS = 3.0
-# A slow instance multiplies its patience by up to this.
+# Upper bound of the local health score (0 is healthy), as in Lifeguard.  The
+# timeouts of an instance are multiplied by one plus its score.
 WORST_HEALTH = 4
-# A tick this late means that this process, not its peers, stood still.
-LATE_TICK = 0.5
-# For so long after a pause, what is read may have waited through it.
-PAUSE_ECHO = 1.0
-# What a relay said of silent domains counts for so long: two of the questions
-# of an instance that has no work, see ``components.server_loads``.
-TOLD_SECONDS = 1.0
-# The fastest message between two instances, regions apart, takes less.
-HOP_SECONDS = 0.05
-# Failed instances are tried again for a day, since a partition may be
-# long; those that left are remembered while old news may be on its way.
-KEEP_FAILED = 24 * 3600.0
-KEEP_LEFT = 600.0
+# A gap between two ticks above this means that this process was paused, and
+# that the silence of its peers is no evidence against them.
+MAX_TICK_GAP_SECONDS = 0.5
+# For this long after a pause, data read from sockets may have been queued
+# during the pause.
+PAUSE_BACKLOG_SECONDS = 1.0
+# How long a relay's report of silent failure domains stays valid: two query
+# intervals of an idle instance, see ``components.server_loads``.
+SILENCE_REPORT_SECONDS = 1.0
+# Upper bound of the lowest one-way latency between any two instances, also
+# in different regions.
+BASE_LATENCY_SECONDS = 0.05
+# Failed instances are retried for a day, since a partition may last long.
+# Instances that left are remembered while stale records of them may still
+# be in flight.
+FAILED_RETENTION_SECONDS = 24 * 3600.0
+LEFT_RETENTION_SECONDS = 600.0
 
 
 class Membership:
-    """The members by name, and the seeds to start from.
+    """The other instances by name, and the seed addresses.
 
-    ``changes`` holds what happened between the last two ticks, for the
-    other components to read in their own tick.
+    ``changes`` holds the member changes between the last two ticks, which
+    the other components read in their own tick.  All times, unless stated
+    otherwise, are seconds on this instance's monotonic clock.
     """
 
     __slots__ = (
@@ -65,9 +73,9 @@
         "_identity",
         "_links",
         "_linked_members",
-        "_silent",
-        "_told_silent",
-        "_heard",
+        "_silent_names",
+        "_reported_silent",
+        "_domain_activity",
         "_last_tick",
         "_pause",
         "_pause_ended",
@@ -84,9 +92,9 @@
         self._identity = identity
         self._links = None
         self._linked_members = []
-        self._silent = set()
-        self._told_silent = {}
-        self._heard = domain_silence.HeardDomains()
+        self._silent_names = set()
+        self._reported_silent = {}
+        self._domain_activity = domain_silence.DomainActivity()
         self._last_tick = None
         self._pause = 0.0
         self._pause_ended = float("-inf")
@@ -105,19 +113,23 @@
         )
 
     def record_of(self, instance):
-        """Return the record to pass on about an instance, or ``None``."""
+        """Return the record of an instance to send to others, or ``None``."""
         if instance == self._identity.instance:
             return self.own_record()
         member = self.members.get(instance)
         return member.record if member else None
 
     def note_own(self):
-        """Bring this instance's own entry of the digest up to date."""
+        """Update the entry of this instance in the table digest."""
         own = self.own_record()
         self.digest.put(own.instance, own.order())
 
     def hear(self, sender, now):
-        """Take note of a message that came directly from ``sender``."""
+        """Record that a message arrived directly from ``sender``.
+
+        Returns the sender's member entry, which is created or replaced if
+        the message is from a newer incarnation.
+        """
         held = self.members.get(sender.instance)
         if held is None or sender.incarnation > held.incarnation:
             record = MemberRecord(
@@ -133,54 +145,55 @@
             return held
         held.heard = now
         held.probed = None
-        self._heard.note(held.failure_domain, now)
-        self._note_offset(held, sender, now)
+        self._domain_activity.note(held.failure_domain, now)
+        self._update_min_offset(held, sender, now)
         return held
 
-    def _note_offset(self, member, sender, now):
+    def _update_min_offset(self, member, sender, now):
         member.offset = min(member.offset, now - sender.clock)
 
     def delay(self, sender, now):
-        """Return for how many seconds a message was under way at most.
-
-        Both clocks are monotonic but have nothing in common.  Their
-        difference is least for the fastest message so far; what a later one
-        is above that, it was delayed, in a queue, on the way or because
-        either end stood still.  So a message that waited two seconds in a
-        socket cannot grant two seconds more of a lease.  What the fastest
-        one took cannot be told from the clocks and is allowed for.  After a
-        pause of this process even the first message of a sender, with which
-        there is nothing to compare, may have waited through it.
+        """Return an upper bound of a message's transit time, in seconds.
+
+        Both clocks are monotonic but have unrelated origins.  The smallest
+        difference seen between them belongs to the fastest message; any
+        excess of a later message is delay in a queue, in the network or by a
+        pause of either process.  Without this, a message that waited two
+        seconds in a socket would extend a lease by two seconds too much.
+        The clocks cannot show the latency of the fastest message itself, so
+        a fixed allowance is added for it.  After a pause of this process
+        even the first message of a sender, which has no earlier message to
+        compare with, may have been queued for the length of the pause.
         """
         member = self.members.get(sender.instance)
         if member is None:
             return 0.0
         least = min(member.offset, member.offset_before)
         late = now - sender.clock - least
-        return HOP_SECONDS + max(0.0, late, self.waited(now))
+        return BASE_LATENCY_SECONDS + max(0.0, late, self.waited(now))
 
     def learn(self, record, now):
-        """Take in a record and return whether it was news."""
+        """Merge a record and return whether it changed the table."""
         held = self.members.get(record.instance)
         if record.instance == self._identity.instance:
             return False
         if held is None:
-            self._add(record, now)
+            self._add_member(record, now)
             return True
         if record.order() <= held.record.order():
             return False
-        self._replace(held, record, now)
+        self._replace_record(held, record, now)
         return True
 
-    def _add(self, record, now):
+    def _add_member(self, record, now):
         member = member_records.Member(record, now, now)
         self.members[record.instance] = member
         self.digest.put(record.instance, record.order())
         self._links = None
         if not member.gone():
-            self._note(record.instance, Change.JOINED)
+            self._record_change(record.instance, Change.JOINED)
 
-    def _replace(self, held, record, now):
+    def _replace_record(self, held, record, now):
         before = held.record
         invariants.check(
             record.order() > before.order(),
@@ -197,34 +210,35 @@
             held.heard = now
         self.digest.put(record.instance, record.order())
         self._links = None
-        self._note(record.instance, _change(before, record))
+        self._record_change(record.instance, _change_between(before, record))
 
-    def _note(self, instance, change):
+    def _record_change(self, instance, change):
         self._next_changes.append(
             member_records.MemberChange(instance, change)
         )
 
     def turn_changes(self):
-        """Let the changes since the last call be read in this tick."""
+        """Publish the changes since the last call as ``changes``."""
         self.changes = self._next_changes
         self._next_changes = []
 
     def mark(self, member, standing, now):
-        """Give a member a new standing and return its record."""
+        """Set the standing of a member and return its current record."""
         record = msgspec.structs.replace(member.record, standing=standing)
         self.learn(record, now)
         return member.record
 
     def contradicts(self, record):
-        """Tell whether a record about this instance must be refuted."""
+        """Return whether a record about this instance must be refuted."""
         own = self.own_record()
         return record.instance == own.instance and record.order() > own.order()
 
     def refute(self, record):
-        """Outbid a record that is wrong about this instance.
+        """Supersede a wrong record about this instance.
 
-        A greater incarnation than our own means that the wall clock was set
-        back between two starts: this start must count as the newer.
+        If the record has a greater incarnation than this process, the wall
+        clock was set back between two starts.  The incarnation is raised so
+        that this start counts as the newer one.
         """
         own = self._identity
         if record.incarnation > own.incarnation:
@@ -235,7 +249,7 @@
         self.note_own()
 
     def alive(self, now):
-        """Return the members that can be reached, as far as is known."""
+        """Return the members that are believed to be reachable."""
         return [item for item in self.members.values() if reached(item, now)]
 
     def address_of(self, instance):
@@ -244,17 +258,17 @@
         return member.address if member else ""
 
     def addresses(self):
-        """Return every address at which an instance may be."""
+        """Return the addresses of all known members and all seeds."""
         known = {item.address for item in self.members.values()}
         return sorted(known | self.seeds)
 
     def links(self):
-        """Return the members that this instance keeps in touch with."""
+        """Return the members that this instance exchanges heartbeats with."""
         if self._links is None:
-            self._choose_links()
+            self._update_links()
         return self._linked_members
 
-    def _choose_links(self):
+    def _update_links(self):
         own = self._identity
         domain_of = {
             name: item.failure_domain
@@ -262,41 +276,42 @@
             if not item.gone()
         }
         self._links = links.choose(
-            own.instance, own.failure_domain, domain_of, self._silent
+            own.instance, own.failure_domain, domain_of, self._silent_names
         )
         self._linked_members = [
             self.members[name] for name in sorted(self._links.names)
         ]
 
     def note_silent(self, now):
-        """Take silent members for no relays, sooner than for failed.
+        """Exclude silent members from relay duty before they are failed.
 
-        A lease has 3 s, and 2.4 s of these may be used up by the way of a
-        renewal; to take on a relay too many for a moment costs little.
+        A lease lasts 3 s, of which the propagation of a renewal may take up
+        2.4 s, so a lost relay must be replaced quickly.  A surplus relay for
+        a moment costs little.
         """
         if self.full_mesh():
             return
         silent = {
             name
             for name, item in self.members.items()
-            if item.linked and now - item.heard > RELAY_SILENT_AFTER
+            if item.linked and now - item.heard > RELAY_SILENT_AFTER_SECONDS
         }
-        if silent != self._silent:
-            self._silent = silent
+        if silent != self._silent_names:
+            self._silent_names = silent
             self._links = None
 
     def full_mesh(self):
-        """Tell whether every instance is linked to every other."""
+        """Return whether every instance is linked to every other."""
         self.links()
         return not self._links.relays
 
     def is_relay(self):
-        """Tell whether this instance is a relay of its failure domain."""
+        """Return whether this instance is a relay of its failure domain."""
         self.links()
         return self._links.is_relay
 
     def is_first_relay(self):
-        """Tell whether this instance is the first relay of its domain."""
+        """Return whether this instance is the first relay of its domain."""
         self.links()
         own = self._identity
         return self._links.relays[own.failure_domain][0] == own.instance
@@ -313,24 +328,31 @@
         return list(self._links.relays)
 
     def silent_relays_of(self, domain):
-        """Return who of a domain is no relay for being silent, by name."""
+        """Return the names of a domain's members that are silent.
+
+        These are not eligible as relays.
+        """
         return sorted(
             name
-            for name in self._silent & self.members.keys()
+            for name in self._silent_names & self.members.keys()
             if self.members[name].failure_domain == domain
         )
 
     def is_relay_of(self, member):
-        """Tell whether a member is a relay of its failure domain."""
+        """Return whether a member is a relay of its failure domain."""
         return member in self.relays_of(member.failure_domain)
 
     def spread_to(self, source=""):
-        """Return the links to pass on news to that came from ``source``.
+        """Return the links to forward an update to.
 
-        In a full mesh to all others, whatever the source: two of them may
-        have no path to each other.  From a relay of its own domain an
-        instance has it last.  A relay tells its domain, and other relays
-        only what comes from its own domain.
+        ``source`` is the instance that the update came from, empty if it
+        originated here.
+
+        In a full mesh the update goes to all others, since any two instances
+        may have no path to each other.  With relays, an instance does not
+        forward what a relay of its own domain sent, as that was the last
+        hop.  A relay forwards everything to its own domain, but to the other
+        relays only what comes from its own domain.
         """
         out = [item for item in self.links() if item.instance != source]
         if not source or self.full_mesh():
@@ -346,56 +368,59 @@
         return out
 
     def patience(self):
-        """Return the factor by which a slow instance waits longer."""
+        """Return the factor that extends this instance's timeouts."""
         return 1.0 + self.health
 
     def hears_anybody(self, now):
-        """Tell whether any other instance was heard lately."""
-        return self._heard.any_after(self._hearing_since(now))
+        """Return whether any other instance was heard recently."""
+        return self._domain_activity.any_after(self._recent_threshold(now))
 
     def heard_since(self, moment):
-        """Tell whether any other instance was heard after ``moment``."""
-        return self._heard.any_after(moment)
+        """Return whether any other instance was heard after ``moment``."""
+        return self._domain_activity.any_after(moment)
 
     def heard_from(self, domain):
         """Return when an instance of ``domain`` was last heard directly.
 
-        It is ``None`` above a full mesh, where most are heard of through
-        relays alone, and while none of them was ever heard.
+        Returns ``None`` if no instance there was ever heard, and wherever
+        relays are used, since most instances are then heard through relays
+        only.
         """
         if not self.full_mesh():
             return None
-        return self._heard.when(domain)
+        return self._domain_activity.when(domain)
 
     def has_fallen_silent(self, domain, now):
-        """Tell whether a domain has just fallen silent, and others have not.
+        """Return whether a domain recently fell silent while others did not.
 
-        Where this instance hears nobody, the fault is with itself.  Above a
-        full mesh only relays hear other domains, and tell their own: without
-        their word each of 39 instances of a domain lost a request or two in
-        each cut, over connections that were open since before.
+        If this instance hears nobody at all, its own network is at fault.
+        Where relays are used, only relays hear other domains, and they
+        report silent domains to their own domain.  Without these reports,
+        each of the 39 instances of a domain lost one or two requests in each
+        partition, over connections that had been opened before it.
         """
         if not self.full_mesh() and not self.is_relay():
-            return now < self._told_silent.get(domain, float("-inf"))
-        return self._heard.has_fallen_silent(domain, now)
+            return now < self._reported_silent.get(domain, float("-inf"))
+        return self._domain_activity.has_fallen_silent(domain, now)
 
     def note_told_silent(self, domains, now):
-        """Take in which domains a relay of the own domain finds silent."""
-        until = now + TOLD_SECONDS
-        self._told_silent = {domain: until for domain in domains}
+        """Record which domains a relay of the own domain reports silent."""
+        until = now + SILENCE_REPORT_SECONDS
+        self._reported_silent = {domain: until for domain in domains}
 
     def silent_domains(self, now):
-        """Return the failure domains that have just fallen silent."""
+        """Return the failure domains that recently fell silent."""
         return {
             domain
-            for domain in {*self._heard, *self._told_silent}
+            for domain in {*self._domain_activity, *self._reported_silent}
             if self.has_fallen_silent(domain, now)
         }
 
     def hears_other_domain(self, now):
-        """Tell whether anybody outside this failure domain was heard.
+        """Return whether any instance of another domain was heard recently.
 
-        An instance that is linked to its relays alone goes by their word.
+        An instance that is linked only to the relays of its domain relies on
+        what they report.
         """
         domain = self._identity.failure_domain
         if not self.full_mesh() and not self.is_relay():
@@ -403,17 +428,20 @@
                 item.outside and reached(item, now)
                 for item in self.relays_of(domain)
             )
-        return self._heard.any_after(self._hearing_since(now), domain)
+        return self._domain_activity.any_after(
+            self._recent_threshold(now), domain
+        )
 
-    def _hearing_since(self, now):
-        """Return since when whoever was heard counts as heard lately."""
+    def _recent_threshold(self, now):
+        """Return the time after which a message counts as recent."""
         return now - SILENT_AFTER * self.patience()
 
     def hears_majority(self, now):
-        """Tell whether more than half of all instances are reached.
+        """Return whether more than half of all instances are reachable.
 
-        All that are known and have not left count, this one included; an
-        instance that hears nobody has no majority, whatever it remembers.
+        Every known instance that has not left counts, including this one.
+        An instance that hears nobody has no majority, whatever its table
+        says.
         """
         counted = [
             item
@@ -426,7 +454,7 @@
         return 2 * reachable > len(counted) + 1
 
     def reach(self, now):
-        """Return how far this instance hears."""
+        """Return how much of the deployment this instance can hear."""
         domain = self._identity.failure_domain
         others = [
             item
@@ -442,79 +470,87 @@
         return Reach.ALL if self.hears_majority(now) else Reach.MINORITY
 
     def shift(self, seconds):
-        """Excuse all others for a time in which this process stood still."""
+        """Move all timestamps forward by the length of a local pause.
+
+        Otherwise, the other instances would seem silent for the time in
+        which this process was paused.
+        """
         for member in self.members.values():
             member.heard += seconds
             member.since += seconds
             if member.probed is not None:
                 member.probed += seconds
-        self._heard.shift(seconds)
+        self._domain_activity.shift(seconds)
 
     def note_tick(self, now):
-        """Note that this process runs; return for how long it stood still.
+        """Record a tick and return for how long this process was paused.
 
-        Zero where the last tick is as long ago as it should be.
+        Returns 0.0 if the tick came on time.
         """
         late = now - self._last_tick if self._last_tick is not None else 0.0
         self._last_tick = now
-        if late <= LATE_TICK:
+        if late <= MAX_TICK_GAP_SECONDS:
             return 0.0
         self._pause = late
         self._pause_ended = now
         return late
 
     def waited(self, now):
-        """Return for how long something just read may have waited here.
+        """Return how old data may be that was just read from a socket.
 
-        After a pause of this process, what is read from its sockets may be
-        as old as the pause was long, and a backend server that has fallen
-        silent since would be taken for alive.
+        After a pause of this process, such data may be as old as the pause
+        was long.  Taken for fresh, it would make a backend server that has
+        stopped since appear alive.
         """
         if self._last_tick is None:
             return 0.0
-        if now - self._last_tick > LATE_TICK:
+        if now - self._last_tick > MAX_TICK_GAP_SECONDS:
             return now - self._last_tick
-        if now - self._pause_ended < PAUSE_ECHO:
+        if now - self._pause_ended < PAUSE_BACKLOG_SECONDS:
             return self._pause
         return 0.0
 
     def turn_offsets(self):
-        """Begin a new period in which least offsets are looked for.
+        """Start a new period for the minimum clock offsets.
 
-        Clocks drift apart, and the monotonic clock of a machine that is
-        suspended stands still: from then on every message of it would look
-        late for good, and renew no lease.  The link gives up a message
-        after a few seconds, so that the fastest of a whole period has
-        hardly been delayed.
+        Clocks drift, and the monotonic clock of a suspended host stops.
+        With a minimum of all time, every later message from that host would
+        look late and would never renew a lease.  The peer link drops a
+        message after a few seconds, so the fastest message of a whole period
+        has hardly been delayed.
         """
         for member in self.members.values():
             member.offset_before = member.offset
             member.offset = float("inf")
 
     def forget(self, now):
-        """Drop members that have been gone for long."""
+        """Remove failed and left members after their retention time."""
         for name in [
             name
             for name, item in self.members.items()
-            if item.gone() and now - item.since > _keep(item)
+            if item.gone() and now - item.since > _retention_seconds(item)
         ]:
             del self.members[name]
             self.digest.drop(name)
             self._links = None
 
 
-def _keep(member):
-    return KEEP_LEFT if member.standing is Standing.LEFT else KEEP_FAILED
+def _retention_seconds(member):
+    return (
+        LEFT_RETENTION_SECONDS
+        if member.standing is Standing.LEFT
+        else FAILED_RETENTION_SECONDS
+    )
 
 
 def reached(member, now):
-    """Tell whether a member can be reached, as far as is known."""
+    """Return whether a member is believed to be reachable."""
     if member.gone():
         return False
     return not member.linked or now - member.heard < SILENT_AFTER
 
 
-def _change(before, record):
+def _change_between(before, record):
     if record.standing is Standing.SUSPECT:
         return Change.SUSPECTED
     if record.standing is Standing.FAILED:
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/messages.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/messages.py
@@ -1,20 +1,21 @@
 """Messages between instances.
 
-Every message is a tagged struct, so that one codec reads them all and a
-message of a newer release is told from a broken one.  To add one, define
-the struct with a tag of its own where its mechanism lives and add it to
-``ALL`` in :mod:`dandeliontrail.coordination.codec`.
+Every message is a tagged struct, so that one codec decodes them all and can
+tell a message of a newer release from a broken one.  To add a message, define
+a struct with a unique tag in the module that implements its mechanism, and
+add it to ``ALL`` in :mod:`dandeliontrail.coordination.codec`.
 """
 
 import msgspec
 
 
 class Sender(msgspec.Struct, array_like=True):
-    """Who sent an envelope; ``incarnation`` grows with each start.
+    """The sender of an envelope; ``incarnation`` grows with each start.
 
-    ``clock`` is the sender's monotonic time, in seconds, at which the
-    oldest message of the envelope was queued.  It means nothing by itself;
-    see :meth:`..coordination.membership.Membership.delay` for its use.
+    ``clock`` is the time on the sender's monotonic clock, in seconds, at
+    which the oldest message of the envelope was queued.  It is meaningful
+    only in comparison with other messages of the sender; see
+    :meth:`..coordination.membership.Membership.delay`.
     """
 
     instance: str
@@ -26,16 +27,17 @@
 
 
 class Heartbeat(msgspec.Struct, tag="heartbeat", omit_defaults=True):
-    """I am here, and this is a digest of what I hold.
+    """A sign of life with digests of the sender's tables.
 
     ``applied`` is the configuration version in force at the sender.
-    ``members`` and ``servers`` stand for the sender's tables, equal where
-    two instances hold the same.  ``usage_version`` numbers the sender's own
-    usage, ``usage_finished`` stands for all that earlier starts used.
-    ``ends`` stands for the table of requests under which servers ended.
-    ``outside`` tells whether it hears other failure domains than its own.
-    ``last`` says that no more heartbeats follow on this link, so that their
-    end is no sign of a failure; ``ask`` that the sender wants one back.
+    ``members``, ``servers`` and ``ends`` are digests of the sender's tables
+    of members, of backend servers and of requests during which servers
+    ended; they are equal where two instances have the same table.
+    ``usage_version`` is the version of the usage counted since the sender's
+    start, and ``usage_finished`` a digest of the usage of earlier starts.
+    ``outside`` tells whether the sender hears other failure domains than its
+    own.  ``last`` announces that no heartbeats follow on this link, so their
+    absence is no sign of a failure.  ``ask`` requests a heartbeat in return.
     """
 
     applied: int = 0
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/order_reports.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/order_reports.py
@@ -1,14 +1,14 @@
-"""What the holder of a failure domain's orders tells the others.
+"""Reports of the orders of a failure domain, from its lease holder.
 
-Any instance answers an operator who asks why a placement is not as
-declared, so the holder's view of it travels to all that are alive.
+An operator may ask any instance why a placement is not as declared, so the
+lease holder sends its view to all instances that are alive.
 """
 
 import msgspec
 
 
 class OrderLine(msgspec.Struct):
-    """One order under way; ``given_ago`` in seconds when it was sent."""
+    """An order in flight, sent ``given_ago`` seconds before the report."""
 
     order: str
     placement: str
@@ -18,14 +18,14 @@
 
 
 class PlacementLine(msgspec.Struct):
-    """Why a placement is or is not as declared."""
+    """The condition of a placement: why it is or is not as declared."""
 
     placement: str
     condition: str
 
 
 class OrdersReport(msgspec.Struct, tag="orders"):
-    """The orders of one failure domain, by its holder ``holder``."""
+    """The orders of one failure domain, by its lease holder ``holder``."""
 
     failure_domain: str
     holder: str
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/true_time.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/true_time.py
@@ -1,10 +1,10 @@
-"""The time of day, by which usage is told apart, from clocks that jump.
+"""A wall clock that ignores temporary clock jumps.
 
-Windows of usage begin and end at the same moment everywhere, so instances
-must agree on the time of day to within some milliseconds.  Their clocks do,
-but for one that is set: it jumps by seconds and often back again.  The
-monotonic clock does not, so the time of day is carried on from it, and a
-jump is believed only once it has lasted.
+Usage windows begin and end at the same time on every instance, so instances
+must agree on the wall clock time to within some milliseconds.  Their clocks
+do, unless one is set: then it jumps by seconds, and often back again.  The
+monotonic clock does not jump, so the time is extrapolated from it, and a jump
+of the wall clock is accepted only after it has lasted.
 
     >>> clock = TrueTime()
     >>> clock.observe(1000.0, 1.0)
@@ -13,42 +13,49 @@
     1008.0
 """
 
-# A clock that is kept right by small steps moves by less than this between
-# two looks at it.
-JUMP = 0.05
-# A clock that was set on purpose stays set.
-BELIEVED_AFTER = 60.0
+# In seconds.  A clock that is synchronised in small steps moves by less than
+# this, relative to the monotonic clock, between two observations.
+MIN_JUMP_SECONDS = 0.05
+# How long a jump must last to be accepted, in seconds: a clock that was set on
+# purpose stays set.
+JUMP_ACCEPTED_AFTER_SECONDS = 60.0
 
 
 class TrueTime:
-    """The time of day for moments on the monotonic clock, in seconds."""
+    """Converts times of the monotonic clock to Unix time, in seconds."""
 
-    __slots__ = ("_offset", "_other", "_other_since")
+    __slots__ = ("_offset", "_jumped_offset", "_jumped_since")
 
     def __init__(self):
         self._offset = None
-        self._other = None
-        self._other_since = 0.0
+        self._jumped_offset = None
+        self._jumped_since = 0.0
 
     def observe(self, wall, now):
-        """Take in what the clock on the wall shows at ``now``."""
+        """Record the wall clock time at the monotonic time ``now``."""
         offset = wall - now
-        if self._offset is None or abs(offset - self._offset) < JUMP:
+        if (
+            self._offset is None
+            or abs(offset - self._offset) < MIN_JUMP_SECONDS
+        ):
             self._offset = offset
-            self._other = None
+            self._jumped_offset = None
             return
-        if self._other is None or abs(offset - self._other) >= JUMP:
-            self._other = offset
-            self._other_since = now
-        elif now - self._other_since >= BELIEVED_AFTER:
+        if (
+            self._jumped_offset is None
+            or abs(offset - self._jumped_offset) >= MIN_JUMP_SECONDS
+        ):
+            self._jumped_offset = offset
+            self._jumped_since = now
+        elif now - self._jumped_since >= JUMP_ACCEPTED_AFTER_SECONDS:
             self._offset = offset
-            self._other = None
+            self._jumped_offset = None
 
     @property
     def known(self):
-        """Tell whether the time was ever told."""
+        """Whether the wall clock was observed at least once."""
         return self._offset is not None
 
     def at(self, now):
-        """Return the time of day at ``now``, in seconds since 1970."""
+        """Return the Unix time at the monotonic time ``now``, in seconds."""
         return now + self._offset
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/vouches.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/vouches.py
@@ -1,9 +1,10 @@
-"""A relay's word for all running servers of a failure domain at once.
+"""Aggregated lease renewals: one message for all servers of a domain.
 
-At 2,500 backend servers that announce themselves every second, telling
-each instance of each renewal would be above 100 KB a second.  What changes
-is known everywhere from the records; so one digest of the running servers
-and one age renew all their leases.
+With 2,500 backend servers that announce themselves every second, sending
+each renewal to each instance would take over 100 KB a second.  Every instance
+has the records of the servers anyway.  So a relay vouches for all running
+servers of a failure domain with one digest of them and one age, which renews
+all their leases.
 """
 
 import heapq
@@ -12,16 +13,17 @@
 
 from . import digests
 
-# So many of the servers heard longest ago are named with ages of their own,
-# so that one that has fallen silent does not age all the others.
-MOST_LATE = 8
+# Number of the servers heard least recently that are listed with ages of their
+# own, so that one silent server does not raise the common age of all others.
+MAX_LATE = 8
 
 
 class Vouch(msgspec.Struct, array_like=True):
-    """All running servers of a failure domain, and when they were heard.
+    """Renews the leases of all running servers of a failure domain.
 
-    They are those that ``root`` stands for, and each was heard ``age``
-    seconds ago at most, but for those in ``late``, which has their ages.
+    ``root`` is the digest of these servers.  Each was heard at most ``age``
+    seconds ago, except those in ``late``, which maps their names to their
+    ages.
     """
 
     failure_domain: str
@@ -31,15 +33,16 @@
 
 
 class Vouches(msgspec.Struct, tag="vouches"):
-    """Renewed leases of whole failure domains."""
+    """Lease renewals for whole failure domains."""
 
     vouches: list[Vouch]
 
 
 class RunningServers:
-    """The servers of one failure domain that neither leave nor lapsed.
+    """The running servers of one failure domain.
 
-    ``servers`` has them by name, as the registry holds them.
+    These are the servers that are not leaving and whose leases have not
+    expired.  ``servers`` maps their names to the registry's entries.
     """
 
     __slots__ = ("digest", "servers")
@@ -49,21 +52,21 @@
         self.servers = {}
 
     def put(self, name, server):
-        """Enter a server, or its new content."""
+        """Add a server or update its content."""
         self.digest.put(name, server.content)
         self.servers[name] = server
 
     def drop(self, name):
-        """Take a server out, if it is there."""
+        """Remove a server if present."""
         if self.servers.pop(name, None):
             self.digest.drop(name)
 
     def vouch(self, domain, now):
-        """Return the word for all of them."""
+        """Return the vouch for all of them."""
         heard = [(item.heard, name) for name, item in self.servers.items()]
-        oldest = heapq.nsmallest(MOST_LATE + 1, heard)
+        oldest = heapq.nsmallest(MAX_LATE + 1, heard)
         common, _ = oldest[-1] if oldest else (now, "")
-        # Rounded up: an age may be too great, never too small.
+        # An age is rounded up: it may be too great, but never too small.
         age = max(0.0, round(now - common + 0.005, 2))
         late = {
             name: round(now - moment + 0.005, 2)
@@ -73,18 +76,18 @@
         return Vouch(domain, self.digest.root, age, late)
 
     def renew(self, vouch, delay, now):
-        """Renew all that a vouch covers; return whether it could be taken.
+        """Renew the leases that a vouch covers; return whether it applies.
 
-        Where this instance knows of other servers in that failure domain
-        than the relay, or of other contents, nothing is renewed: the
-        difference is about to be repaired, and until then the leases that
-        are held run on.
+        ``delay`` is the transit time of the vouch, in seconds.  If this
+        instance knows other servers in that failure domain than the relay,
+        or other contents, nothing is renewed.  Anti-entropy will soon repair
+        the difference; until then the present leases run on.
         """
         if self.digest.root != vouch.root:
             return False
         heard = now - vouch.age - delay
         for name, server in self.servers.items():
-            # This loop is run for every server and relay once a second.
+            # Hot path: runs for every server and relay once a second.
             if server.heard < heard and name not in vouch.late:
                 server.heard = heard
                 server.expires = heard + server.lease
