--- a/tests/common/claim_machine.py
+++ b/tests/common/claim_machine.py
@@ -1,4 +1,4 @@
-"""The state machine that both the short and the long claim tests run."""
+"""The Hypothesis state machine of the short and the long claim tests."""
 
 from hypothesis import stateful
 from hypothesis import strategies as st
@@ -10,7 +10,10 @@
 
 
 class ClaimMachine(stateful.RuleBasedStateMachine):
-    """Any order of requests, deliveries, losses, crashes and partitions."""
+    """Requests, deliveries, losses, crashes and partitions in any order.
+
+    After each step, no key may have run twice within the life of its claim.
+    """
 
     VOTERS = 3
 
@@ -52,11 +55,11 @@
     def cut_off(self, number):
         name = self._name(number)
         for other in self.world.names:
-            self.world.cut.update({(name, other), (other, name)})
+            self.world.blocked_paths.update({(name, other), (other, name)})
 
     @stateful.rule()
     def heal(self):
-        self.world.cut.clear()
+        self.world.blocked_paths.clear()
 
     @stateful.precondition(lambda self: self.world.running)
     @stateful.rule(
--- a/tests/common/claim_world.py
+++ b/tests/common/claim_world.py
@@ -1,4 +1,4 @@
-"""Instances that claim keys, over a network that a test controls."""
+"""Instances that claim keys, over a simulated network."""
 
 import random
 
@@ -14,7 +14,7 @@
 
 
 class Recorder(claim_rounds.Listener):
-    """Takes down what came of each request's claim."""
+    """Records the outcome of each request's claim."""
 
     def __init__(self):
         self.granted = []
@@ -38,7 +38,7 @@
 
 
 class Peer:
-    """One instance: its claims, which a crash takes."""
+    """One instance; its claims are lost in a crash."""
 
     def __init__(self, name, voters, incarnation):
         identity = state_module.Identity(
@@ -57,18 +57,22 @@
 
 
 class ClaimWorld:
-    """A few peers, their messages under way, and one clock."""
+    """Several peers, their messages in flight, and one clock.
+
+    The first peers, ``v0`` and so on, are voters; ``i0`` and so on are not.
+    """
 
     def __init__(self, voters, others):
         self.voters = [f"v{number}" for number in range(voters)]
         self.names = self.voters + [f"i{number}" for number in range(others)]
         self.now = 0.0
         self.messages = []
-        self.cut = set()
-        self.requests = 0
-        # By key: the requests that were granted it and may have run.
-        self.ran = {}
-        self.keys = {}
+        self.blocked_paths = set()
+        self.request_count = 0
+        # By key: the times of the requests that were granted the key and may
+        # have run.
+        self.started_by_key = {}
+        self.key_of_request = {}
         self.running = {}
         self.peers = {}
         for name in self.names:
@@ -84,26 +88,28 @@
             peer.state.members.hear(other.claims._self(), self.now)
 
     def crash(self, name):
-        """Restart ``name`` without its memory, but with its disk's log."""
+        """Restart ``name`` with its log on disk, but without its memory."""
         incarnation = self.peers[name].state.identity.incarnation + 1
-        for request_id, held in list(self.running.items()):
-            if held == name:
+        for request_id, holder in list(self.running.items()):
+            if holder == name:
                 del self.running[request_id]
         self._start(name, incarnation)
 
     def request(self, name, key, digest="d"):
-        """Have a caller send ``key`` to an instance; return its number."""
-        self.requests += 1
-        request_id = f"q{self.requests}"
-        self.keys[request_id] = key
+        """Send a request with ``key`` to an instance; return its id."""
+        self.request_count += 1
+        request_id = f"q{self.request_count}"
+        self.key_of_request[request_id] = key
         wanted = claim_rounds.Wanted(
             request_id, key, digest, False, self.now + 600.0
         )
-        self.carry(name, self.peers[name].claims.begin(wanted, self.now))
+        self.apply_effects(
+            name, self.peers[name].claims.begin(wanted, self.now)
+        )
         return request_id
 
-    def carry(self, name, out):
-        """Put messages under way and start what was granted."""
+    def apply_effects(self, name, out):
+        """Queue the messages in ``out`` and start the granted requests."""
         for effect in out:
             if isinstance(effect, effects.SendPeer):
                 target = effect.address.split(":")[0]
@@ -114,48 +120,52 @@
 
     def _run(self, name, request_id):
         self.running[request_id] = name
-        self.ran.setdefault(self.keys[request_id], {})[request_id] = self.now
+        self.started_by_key.setdefault(self.key_of_request[request_id], {})[
+            request_id
+        ] = self.now
         self.check()
 
     def end(self, request_id, stand):
-        """Have a running request end."""
+        """End a running request with the state ``stand``."""
         name = self.running.pop(request_id)
         if stand is Stand.NOT_RUN:
-            del self.ran[self.keys[request_id]][request_id]
+            del self.started_by_key[self.key_of_request[request_id]][
+                request_id
+            ]
         answer = None
         if stand is Stand.HELD:
             answer = claims.StoredAnswer(
-                200, "", "e1", self.keys[request_id].encode()
+                200, "", "e1", self.key_of_request[request_id].encode()
             )
         out = self.peers[name].claims.ended(
             request_id, stand, answer, self.now
         )
-        self.carry(name, out)
+        self.apply_effects(name, out)
 
     def deliver(self, index, keep=False):
-        """Deliver a message under way, and maybe once more later."""
+        """Deliver a message in flight; ``keep`` allows a duplicate later."""
         source, target, message = self.messages[index]
         if not keep:
             self.messages.pop(index)
-        if (source, target) in self.cut:
+        if (source, target) in self.blocked_paths:
             return
         sender = self.peers[source].claims._self()
         peer = self.peers[target]
         handlers = peer.voting.handlers() | peer.claims.handlers()
         handler = handlers[type(message)]
-        self.carry(target, handler(sender, message, self.now))
+        self.apply_effects(target, handler(sender, message, self.now))
 
     def pass_time(self, seconds, stalled=()):
-        """Let time pass, and let every peer but ``stalled`` notice."""
+        """Advance the clock; tick all peers except those in ``stalled``."""
         self.now += seconds
         for name, peer in self.peers.items():
             if name in stalled:
                 continue
-            self.carry(name, peer.voting.tick(self.now))
-            self.carry(name, peer.claims.tick(self.now))
+            self.apply_effects(name, peer.voting.tick(self.now))
+            self.apply_effects(name, peer.claims.tick(self.now))
 
     def settle(self, seconds=3.0):
-        """Let all that is under way arrive, for a while."""
+        """Deliver all messages, and advance the clock by ``seconds``."""
         end = self.now + seconds
         while self.now < end:
             while self.messages:
@@ -163,19 +173,19 @@
             self.pass_time(0.3)
 
     def separate(self, one, other):
-        """Have nothing arrive between two peers."""
-        self.cut |= {(one, other), (other, one)}
+        """Drop all messages between two peers."""
+        self.blocked_paths |= {(one, other), (other, one)}
 
-    def join(self, one, other):
-        """Let messages between two peers arrive again."""
-        self.cut -= {(one, other), (other, one)}
+    def reconnect(self, one, other):
+        """Deliver messages between two peers again."""
+        self.blocked_paths -= {(one, other), (other, one)}
 
     def check(self):
-        """Assert that no key was run twice within its claim's life."""
-        for key, started in self.ran.items():
-            lately = [
+        """Assert that no key ran twice within the life of its claim."""
+        for key, started in self.started_by_key.items():
+            recent = [
                 request_id
                 for request_id, when in started.items()
                 if self.now - when < claims.CLAIM_SECONDS
             ]
-            assert len(lately) <= 1, f"{key} ran for {lately}"
+            assert len(recent) <= 1, f"{key} ran for {recent}"
--- a/tests/cover/test_order_leases.py
+++ b/tests/cover/test_order_leases.py
@@ -1,4 +1,4 @@
-"""Only one instance at a time gives orders to a failure domain's engines."""
+"""Only one instance at a time sends orders to a failure domain's engines."""
 
 import dataclasses
 
@@ -16,16 +16,16 @@
 LOST = "lost"
 FATES = (ARRIVES, ARRIVES, ARRIVES, LATE, LOST)
 RATES = (1.005, 0.995)
-# How much of the longest time an order may be under way it takes.
+# Transit time of an order, as a fraction of its timeout.
 DELAYS = (0.0, 0.99)
-# Parts of a lease in which time moves on, and how finely.
+# Length of a tick as a fraction of a lease, and the ticks of each time step.
 TICK_PART = 1 / 80
 TICKS = tuple(int(part / TICK_PART) for part in (0.1, 0.45, 1, 1.3))
 
 
 @dataclasses.dataclass
 class Instance:
-    """An instance with a clock of its own offset and rate."""
+    """An instance whose clock has its own offset and rate."""
 
     name: str
     index: int
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass
 class InFlight:
-    """A log request, or its answer, between two processes."""
+    """A log request, or its result, in flight between two processes."""
 
     instance: Instance
     holder: leases.LeaseHolder
@@ -59,19 +59,19 @@
 
 
 class OrdersDoNotInterleave(stateful.RuleBasedStateMachine):
-    """Two order givers load and unload the same engine against each other.
+    """Two lease holders load and unload the same engine against each other.
 
-    What a user sees: copies of a model come and go without end.  Cause: a
-    holder that was paused, cut off or slow goes on after its successor
-    began.  The engine here checks nothing, so only the waits protect it;
-    clocks run at rates up to 1% apart, answers are lost or late.
+    Symptom: copies of a model are loaded and unloaded endlessly.  Cause: a
+    holder that was paused, partitioned or slow continues after its successor
+    has started.  The engine here checks no fencing tokens, so only the waits
+    protect it.  Clock rates differ by up to 1%; answers are lost or late.
     """
 
     terms = leases.ORDER_TERMS
 
     def __init__(self):
         super().__init__()
-        self.real = 0.0
+        self.real_time = 0.0
         self.version = 0
         self.table = leases.LeaseTable()
         self.requests = []
@@ -93,43 +93,45 @@
         delays=st.tuples(*[st.sampled_from(DELAYS)] * len(RATES)),
     )
     def time_passes(self, ticks, delays):
-        """Let everyone order as long as it may, each with its delay."""
+        """Let each instance send orders while it may, each with its delay."""
         for _ in range(ticks):
-            self.real += self.terms.lease * TICK_PART
+            self.real_time += self.terms.lease * TICK_PART
             for instance, delay in zip(self.instances, delays, strict=True):
                 self.renew(instance)
                 self.send_order(instance, delay)
             self.deliver_orders()
 
     def renew(self, instance):
-        """Renew as a holder with work does, while the log answers it."""
+        """Renew the lease as a holder with work does; the log answers."""
         holder = instance.holder
-        if holder.grant and holder.renewal_due(instance.now(self.real)):
+        if holder.grant and holder.renewal_due(instance.now(self.real_time)):
             self.ask(instance.index, ARRIVES)
 
     def send_order(self, instance, delay):
-        if not instance.holder.may_order(False, instance.now(self.real)):
+        if not instance.holder.may_order(False, instance.now(self.real_time)):
             return
-        at = self.real + delay * self.terms.longest_call / instance.rate
+        at = self.real_time + delay * self.terms.longest_call / instance.rate
         self.orders.append((at, instance.holder.grant.fencing, instance.name))
 
     def deliver_orders(self):
-        due = sorted(item for item in self.orders if item[0] <= self.real)
-        self.orders = [item for item in self.orders if item[0] > self.real]
+        due = sorted(item for item in self.orders if item[0] <= self.real_time)
+        self.orders = [
+            item for item in self.orders if item[0] > self.real_time
+        ]
         for at, fencing, name in due:
-            assert fencing >= self.highest, "orders of two holders mixed"
+            assert fencing >= self.highest, "orders of two holders interleaved"
             self.highest = fencing
-            self.arrived(at, name)
+            self.check_arrival(at, name)
 
-    def arrived(self, at, name):
-        """Judge an order beyond its fencing number."""
+    def check_arrival(self, at, name):
+        """Make further checks of an order; overridden in subclasses."""
 
     @stateful.rule(index=which, fate=st.sampled_from(FATES))
     def ask(self, index, fate):
         instance = self.instances[index]
         if instance.holder.asking():
             return
-        now = instance.now(self.real)
+        now = instance.now(self.real_time)
         present = self.table.holding("fd1")
         item = InFlight(
             instance, instance.holder, instance.holder.ask(present, now)
@@ -146,7 +148,7 @@
         item.content = None if fate == LOST else result
 
     def answer(self, item):
-        item.holder.answered(item.content, item.instance.now(self.real))
+        item.holder.answered(item.content, item.instance.now(self.real_time))
 
     @stateful.rule(index=any_index, fate=st.sampled_from(FATES))
     def late_message_arrives(self, index, fate):
@@ -177,11 +179,11 @@
 
 
 class CallsDoNotTakeTurns(OrdersDoNotInterleave):
-    """Two keepers call the platform by turns, one after the other.
+    """Two keepers call the platform alternately within a short time.
 
-    What a user sees: the platform counts two callers as fighting, though
-    their fencing numbers only grow.  Cause: a lease that goes there and back
-    quicker than the platform's own idea of a lease lasts.
+    Symptom: the platform reports two competing callers, although their
+    fencing tokens only grow.  Cause: the lease changes hands and returns
+    within the time that the platform assumes for a lease.
     """
 
     terms = leases.LeaseTerms(1.5, 1.0, 3.0, by_keepers=True)
@@ -191,10 +193,10 @@
         self.last_call = {}
         self.last_caller = ""
 
-    def arrived(self, at, name):
+    def check_arrival(self, at, name):
         before = self.last_call.get(name)
         if before is not None and self.last_caller != name:
-            assert at - before >= self.terms.turn, "by turns"
+            assert at - before >= self.terms.turn, "alternating calls"
         self.last_call[name] = at
         self.last_caller = name
 
@@ -214,9 +216,9 @@
 
 
 def test_successor_waits_for_an_engine_that_does_not_check():
-    # The holder is lost with an order under way.  Its successor must not
-    # order an engine that obeys everybody until that order has arrived;
-    # an engine that checks may be ordered at once.
+    # The holder is lost with an order in flight.  Until that order must have
+    # arrived, its successor must not send orders to an engine that checks no
+    # fencing tokens.  An engine that checks them may get orders at once.
     table = leases.LeaseTable()
     first = make_holder("i1")
     first.answered(table.apply(1, first.ask(table.holding("fd1"), 0.0)), 0.0)
@@ -225,7 +227,7 @@
     second.answered(table.apply(2, request), 10.0)
     assert second.may_order(True, 10.1)
     assert not second.may_order(False, 10.1)
-    # Renewals keep the lease but do not prolong the wait.
+    # Renewals extend the lease but not the wait.
     for now in (15.0, 25.0, 34.0):
         request = second.ask(table.holding("fd1"), now)
         second.answered(table.apply(int(now), request), now)
@@ -237,7 +239,7 @@
     assert not first.may_order(True, 10.1)
 
 
-def ask_and_answer(table, holder, version, now):
+def request_lease(table, holder, version, now):
     request = holder.ask(table.holding("fd1"), now)
     holder.answered(table.apply(version, request), now)
 
@@ -249,48 +251,50 @@
     ]
 
 
-def test_holders_that_take_turns_do_so_slowly():
-    # A holder is cut off and its successor acts; right after the successor
-    # asked for its lease the last time, the first one is granted it again.
-    # The platform must not see first, second and first within its three
-    # seconds, though the first's last call was late and its next is prompt.
+def test_regained_lease_keeps_the_minimum_distance_of_calls():
+    # A holder is partitioned and its successor acts.  Right after the
+    # successor's last request, the first holder is granted the lease again.
+    # The platform must not see calls of the first, second and first holder
+    # within its three seconds, even if the last call of the first holder took
+    # long to arrive and its next one is fast.
     terms = CallsDoNotTakeTurns.terms
     table = leases.LeaseTable()
     first, second = two_holders(terms)
     for version, now in ((1, 0.0), (2, 10.0)):
-        ask_and_answer(table, first, version, now)
+        request_lease(table, first, version, now)
     last_call = first.grant.valid_until + terms.longest_call
-    ask_and_answer(table, second, 3, 10.0)
+    request_lease(table, second, 3, 10.0)
     wait = second.grant.unchecked_from
-    ask_and_answer(table, second, 4, wait - terms.lease * 0.98)
+    request_lease(table, second, 4, wait - terms.lease * 0.98)
     assert second.may_order(False, wait)
     first.superseded(table.holding("fd1"))
-    ask_and_answer(table, first, 5, wait - terms.lease * 0.98)
+    request_lease(table, first, 5, wait - terms.lease * 0.98)
     assert first.grant.unchecked_from - last_call >= terms.turn
 
 
-def test_first_holder_by_a_log_of_keepers_follows_nobody():
-    # A system starts, and each second until its calls begin is paid for.
-    # Whoever held a lease before ended with the log in which it stood; a
-    # holder that is known waits for its predecessor as ever.
+def test_first_holder_in_a_log_of_keepers_does_not_wait():
+    # Each second of a system's start until its first call costs money.  The
+    # lease of any earlier holder ended with the log that recorded it, so the
+    # first holder in a new log does not wait.  If the log names a predecessor,
+    # a holder waits as usual.
     terms = CallsDoNotTakeTurns.terms
     table = leases.LeaseTable()
     first, second = two_holders(terms)
-    ask_and_answer(table, first, 1, 0.0)
+    request_lease(table, first, 1, 0.0)
     assert first.may_order(False, 0.1)
-    ask_and_answer(table, second, 2, 0.2)
+    request_lease(table, second, 2, 0.2)
     assert not second.may_order(False, 0.3)
     restarted = leases.LeaseHolder(
         dandeliontrail.Identity("i2", "fd1", "r1", 2), "fd1", terms
     )
-    ask_and_answer(table, restarted, 3, 0.4)
+    request_lease(table, restarted, 3, 0.4)
     assert not restarted.may_order(False, 0.5)
 
 
-def test_lease_counts_from_before_it_was_asked_for():
+def test_lease_is_measured_from_before_its_request():
     # The log's answer reaches the holder after 15 of its 20 seconds.  A
-    # successor may have been granted right after it, and waits from then
-    # on: the holder must stop at 20, not at 35.
+    # successor may have been granted the lease right after the request, and
+    # its wait counts from then: the holder must stop at 20 s, not at 35 s.
     table = leases.LeaseTable()
     holder = make_holder("i1")
     request = holder.ask(table.holding("fd1"), 0.0)
@@ -314,14 +318,15 @@
     return downloads.DownloadEntry(step, domain, fencing, order, 2, protected)
 
 
-def give_back(order, fencing=1):
+def release_slot(order, fencing=1):
     step = downloads.DownloadStep.DONE
     return downloads.DownloadEntry(step, "fd1", fencing, order)
 
 
 def test_protected_models_are_downloaded_first():
-    # A failure domain returns with all engines cold.  The review model's
-    # loads are asked for first; the lookup model must not wait for them.
+    # A failure domain comes back with all engines cold.  The loads of the
+    # review model request slots first; the protected lookup model must not
+    # wait for them.
     table = downloads.DownloadTable()
     granted = [
         table.apply(1, request_slot(f"review{number}")).granted
@@ -330,7 +335,7 @@
     assert granted == [True, True, False, False]
     lookup = request_slot("lookup", protected=True)
     assert not table.apply(2, lookup).granted
-    table.apply(3, give_back("review0"))
+    table.apply(3, release_slot("review0"))
     assert not table.apply(4, request_slot("review2")).granted
     assert table.apply(5, lookup).granted
 
@@ -340,12 +345,13 @@
     table.apply(1, request_slot("a"))
     table.apply(2, request_slot("b"))
     table.apply(3, request_slot("c"))
-    # The successor asks with a larger fencing number: the place of "c" is
-    # gone with the holder that stood there, the running loads are not.
+    # The successor's request has a greater fencing token.  This removes the
+    # queue place of "c", which only the lost holder could use, but not the
+    # running loads.
     later = request_slot("d", fencing=9)
     assert not table.apply(4, later).granted
     assert {slot.order for slot in table.held_by("fd1")} == {"a", "b"}
-    table.apply(5, give_back("a", fencing=9))
+    table.apply(5, release_slot("a", fencing=9))
     assert table.apply(6, later).granted
 
 
@@ -358,7 +364,7 @@
     assert not other.apply(3, request_slot("c")).granted
 
 
-def test_fencing_number_never_falls():
+def test_fencing_token_never_decreases():
     table = leases.LeaseTable()
     table.apply(7, make_holder("i1").ask(table.holding("fd1"), 0.0))
     stale = make_holder("i2").ask(table.holding("fd1"), 0.0)
--- a/tests/nocover/test_claims_long.py
+++ b/tests/nocover/test_claims_long.py
@@ -1,4 +1,4 @@
-"""The claims' state machine for as long as one cares to run it."""
+"""The state machine of the claim tests with many examples."""
 
 import hypothesis
 
@@ -10,18 +10,18 @@
 
 
 class TestThreeVoters(claim_machine.ClaimMachine.TestCase):
-    """The size of today."""
+    """Three voters, which tolerate one failure."""
 
     settings = LONG
 
 
 class FiveVoters(claim_machine.ClaimMachine):
-    """Room for two losses."""
+    """Five voters, which tolerate two failures."""
 
     VOTERS = 5
 
 
 class TestFiveVoters(FiveVoters.TestCase):
-    """Room for two losses."""
+    """Five voters, which tolerate two failures."""
 
     settings = LONG
