--- a/packages/dandeliontrail/src/dandeliontrail/coordination/claim_votes.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/claim_votes.py
@@ -145,8 +145,8 @@
     def _is_first_start(self, size):
         """Return whether the whole deployment starts for the first time.
 
-        A voter that lost its disk has no earlier state either.  It is
-        recognised by other voters, which were ready before it started.
+        A voter that lost its disk has no earlier state either.  That case
+        shows in other voters that were ready before this one started.
         """
         if not self._blank or len(self._statuses) + 1 < claims.majority(size):
             return False
--- a/tests/cover/test_relays.py
+++ b/tests/cover/test_relays.py
@@ -153,7 +153,7 @@
     assert observers_of_silence() == []
 
 
-def test_vouch_renews_nothing_where_the_relay_knows_of_another_state():
+def test_vouch_renews_nothing_if_the_relay_knows_another_state():
     # The relay knows that e1 is leaving; this instance missed that update.
     # The vouch covers the servers that run according to the relay, which do
     # not include e1.
