--- a/packages/dandeliontrail/src/dandeliontrail/coordination/ledger.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/ledger.py
@@ -1,12 +1,13 @@
-"""The usage ledger: what organisations used, over all instances.
+"""The usage ledger: usage by organisation, replicated to all instances.
 
-Every instance counts into rows of its own, under a publisher that is new
-with each start, and holds copies of the others' rows.  A publisher numbers
-its changes, so that one number tells up to where somebody holds it: the
-version vector of scuttlebutt and Dynamo (see the notes "scalable secure
-scuttlebutt", append-only gossip).  Merging takes the greater count of each
-row, which commutes, associates and is idempotent: repetition, reorder and
-partitions neither lose nor double a count.
+Every instance counts into its own rows and holds copies of the rows of all
+others.  Rows belong to a publisher, which is one incarnation of an instance
+and so new with each start.  A publisher numbers its changes, so a single
+number says how much of it a replica holds: this is the version vector of
+Scuttlebutt and Dynamo (see the notes "scalable secure scuttlebutt",
+append-only gossip).  A merge takes the maximum of each count, which is
+commutative, associative and idempotent: duplicated and reordered messages
+and partitions neither lose counts nor count twice.
 
     >>> one = UsageLedger(usage.Publisher("i1", 1))
     >>> one.day = "2026-03-14"
@@ -17,9 +18,9 @@
     >>> two.used("lab", "lookup").output_tokens
     5
 
-The publishers of earlier starts are folded into one checkpoint for each
-instance once everybody holds them, so that an instance that restarts two
-hundred times leaves the rows of one.
+The publishers of earlier starts are folded into one checkpoint per instance
+as soon as all instances hold them, so an instance that restarts 200 times
+needs no more rows than one that never did.
 """
 
 from .. import invariants
@@ -34,8 +35,9 @@
 class UsageLedger:
     """Totals by organisation, class and day, merged over all instances.
 
-    ``day`` is the present UTC date and set from outside.  ``late`` counts
-    the checkpoints that came without rows which were held here.
+    ``day`` is the current UTC date, set by the caller.  ``late`` counts the
+    adopted checkpoints that lacked rows which this instance held.
+    ``finished`` has the publishers that count no more and can be folded.
     """
 
     __slots__ = (
@@ -57,52 +59,52 @@
         self.finished = set()
         self.totals = usage_totals.UsageTotals()
         self.own_totals = usage_totals.UsageTotals()
-        self._publishers = {own: usage_rows.HeldRows()}
+        self._publishers = {own: usage_rows.PublisherRows()}
         self._checkpoints = {}
         self._changed_checkpoints = set()
 
-    def count(self, organisation, class_name, counted):
-        """Add ``counted`` to this instance's rows."""
-        held = self._publishers[self.own]
+    def count(self, organisation, class_name, amount):
+        """Add ``amount`` to this instance's rows."""
+        replica = self._publishers[self.own]
         key = usage.UsageKey(self.day, organisation, class_name)
-        row = held.rows.get(key) or usage_rows.Row(0, Totals())
-        held.version += 1
-        row.version = held.version
-        row.totals.add(counted)
-        held.put_last(key, row)
-        held.unsaved.add(key)
-        self.totals.add(key, counted)
-        self.own_totals.add(key, counted)
+        row = replica.rows.get(key) or usage_rows.Row(0, Totals())
+        replica.version += 1
+        row.version = replica.version
+        row.totals.add(amount)
+        replica.move_to_end(key, row)
+        replica.unsaved.add(key)
+        self.totals.add(key, amount)
+        self.own_totals.add(key, amount)
 
     def used_elsewhere(self, organisation, class_name):
-        """Return the totals that other instances or starts counted.
+        """Return the totals counted by other instances or incarnations.
 
-        Without a class name they are of all classes.
+        An empty class name selects all classes.
         """
         if not class_name:
             own = self.own_totals.of_organisation(organisation)
-            return self.totals.of_organisation(organisation).less(own)
+            return self.totals.of_organisation(organisation).minus(own)
         own = self.own_totals.of_class(organisation, class_name)
-        return self.totals.of_class(organisation, class_name).less(own)
+        return self.totals.of_class(organisation, class_name).minus(own)
 
     def used(self, organisation, class_name):
-        """Return the totals of an organisation in a class, all days."""
+        """Return the totals of an organisation in a class over all days."""
         return self.totals.of_class(organisation, class_name)
 
     def used_by(self, organisation):
-        """Return the totals of an organisation, all classes and days."""
+        """Return the totals of an organisation over all classes and days."""
         return self.totals.of_organisation(organisation)
 
     def used_today(self, organisation):
-        """Return the totals of an organisation on the present day."""
+        """Return the totals of an organisation on the current day."""
         return self.totals.of_day(organisation, self.day)
 
     def version(self):
-        """Return a number that grows with every change held here.
+        """Return a number that grows with every change to the ledger.
 
-        Two instances that hold the same have the same number.
+        Two instances with the same contents have the same number.
         """
-        live = sum(held.version for held in self._publishers.values())
+        live = sum(replica.version for replica in self._publishers.values())
         folded = sum(item.versions for item in self._checkpoints.values())
         return live + folded
 
@@ -111,38 +113,39 @@
         return self._publishers[self.own].version
 
     def held_version(self, publisher):
-        """Return up to where a publisher is held without gaps."""
-        held = self._publishers.get(publisher)
-        return held.version if held else 0
+        """Return the version up to which a publisher is held without gaps."""
+        replica = self._publishers.get(publisher)
+        return replica.version if replica else 0
 
     def publishers_of(self, instance):
-        """Return the publishers of an instance that are not folded."""
+        """Return the publishers of an instance that are not folded yet."""
         return sorted(
             item for item in self._publishers if item.instance == instance
         )
 
     def unfolded(self):
-        """Return the publishers of each instance, the earliest first."""
-        out = {}
+        """Return the publishers not folded yet by instance, oldest first."""
+        by_instance = {}
         for publisher in sorted(self._publishers):
-            out.setdefault(publisher.instance, []).append(publisher)
-        return out
+            by_instance.setdefault(publisher.instance, []).append(publisher)
+        return by_instance
 
     def folded_through(self, instance):
-        """Return the greatest folded incarnation of an instance, or -1."""
-        held = self._checkpoints.get(instance)
-        return held.through if held else -1
+        """Return the highest folded incarnation of an instance, or -1."""
+        checkpoint = self._checkpoints.get(instance)
+        return checkpoint.through if checkpoint else -1
 
     def succeed_own(self, incarnation):
-        """Count on as a later publisher; what is counted stays."""
+        """Continue counting as a new publisher; keep the present rows."""
         self.own = usage.Publisher(self.own.instance, incarnation)
-        self._publishers[self.own] = usage_rows.HeldRows()
+        self._publishers[self.own] = usage_rows.PublisherRows()
 
     def rename_own(self, incarnation):
-        """Count under a greater incarnation, and take all rows along.
+        """Move all own rows to a publisher with a higher incarnation.
 
-        Only where nobody counts the rows under the present one: nobody was
-        told of them, or all will find them folded already.
+        Allowed only if no other instance counts the rows under the present
+        publisher: either none has received them, or all will discard them
+        because that incarnation is folded already.
         """
         before = self.own
         self.own = usage.Publisher(before.instance, incarnation)
@@ -150,88 +153,94 @@
 
     def rows_since(self, publisher, since):
         """Return the rows of a publisher that changed after ``since``."""
-        held = self._publishers[publisher]
+        replica = self._publishers[publisher]
         rows = []
-        for key, row in reversed(held.rows.items()):
+        for key, row in reversed(replica.rows.items()):
             if row.version > since:
                 rows.append(usage.UsageRow(key, row.version, row.totals))
-            elif held.ordered:
+            elif replica.ordered:
                 break
         rows.reverse()
-        return usage.UsageRows(publisher, since, held.version, rows)
+        return usage.UsageRows(publisher, since, replica.version, rows)
 
     def merge(self, message):
-        """Take in rows; return whether nothing is missing before them."""
+        """Merge rows; return whether the publisher is held without gaps."""
         publisher = message.publisher
         if publisher == self.own or self._is_folded(publisher):
             return True
-        held = self._publishers.setdefault(publisher, usage_rows.HeldRows())
+        replica = self._publishers.setdefault(
+            publisher, usage_rows.PublisherRows()
+        )
         for item in message.rows:
-            self._merge_row(held, item)
-        return held.covers(message.since, message.through)
+            self._merge_row(replica, item)
+        return replica.add_range(message.since, message.through)
 
-    def _merge_row(self, held, item):
-        row = held.rows.get(item.key) or usage_rows.Row(0, Totals())
-        after = usage.greater(row.totals, item.totals)
-        grown = after.less(row.totals)
+    def _merge_row(self, replica, update):
+        row = replica.rows.get(update.key) or usage_rows.Row(0, Totals())
+        merged = usage.maximum(row.totals, update.totals)
+        increase = merged.minus(row.totals)
         invariants.check(
-            min(grown.counts()) >= 0,
+            min(increase.counts()) >= 0,
             "usage_never_shrinks_within_a_publisher",
-            item.key.organisation,
+            update.key.organisation,
         )
-        if item.version > row.version:
-            row.version = item.version
-            held.put_last(item.key, row)
-        if any(grown.counts()):
-            row.totals = after
-            held.unsaved.add(item.key)
-            self.totals.add(item.key, grown)
+        if update.version > row.version:
+            row.version = update.version
+            replica.move_to_end(update.key, row)
+        if any(increase.counts()):
+            row.totals = merged
+            replica.unsaved.add(update.key)
+            self.totals.add(update.key, increase)
 
     def _is_folded(self, publisher):
         return publisher.incarnation <= self.folded_through(publisher.instance)
 
     def have(self, ask=True):
-        """Return what is held, for another instance to compare with."""
+        """Return the versions held, for another instance to compare.
+
+        ``ask`` requests the same message in return.
+        """
         versions = [
-            usage.PublisherVersion(publisher, held.version)
-            for publisher, held in sorted(self._publishers.items())
+            usage.PublisherVersion(publisher, replica.version)
+            for publisher, replica in sorted(self._publishers.items())
         ]
         checkpoints = {
-            name: item.through
-            for name, item in sorted(self._checkpoints.items())
+            instance: item.through
+            for instance, item in sorted(self._checkpoints.items())
         }
         return usage.UsageHave(versions, checkpoints, ask)
 
     def want(self, publisher):
-        """Return the request for what is missing of one publisher."""
+        """Return a request for the missing rows of one publisher."""
         version = usage.PublisherVersion(
             publisher, self.held_version(publisher)
         )
         return usage.UsageHave([version], {}, ask=False, whole=False)
 
     def answer(self, have):
-        """Return the messages that bring the sender of ``have`` up to here.
+        """Return the messages with all that the sender of ``have`` lacks.
 
-        Checkpoints come first, so that the rows after them count on top.
+        Checkpoints come first, so that the rows that follow are added to
+        them.
         """
         if not have.whole:
-            return self._answer_wanted(have)
-        out = [
-            self.checkpoint_message(name)
-            for name, held in sorted(self._checkpoints.items())
-            if held.through > have.checkpoints.get(name, -1)
+            return self._requested_rows(have)
+        messages = [
+            self.checkpoint_message(instance)
+            for instance, checkpoint in sorted(self._checkpoints.items())
+            if checkpoint.through > have.checkpoints.get(instance, -1)
         ]
         theirs = {item.publisher: item.version for item in have.versions}
-        for publisher, held in sorted(self._publishers.items()):
+        for publisher, replica in sorted(self._publishers.items()):
             folded = have.checkpoints.get(publisher.instance, -1)
             if publisher.incarnation <= folded:
                 continue
             version = theirs.get(publisher, 0)
-            if held.version > version:
-                out.append(self.rows_since(publisher, version))
-        return out
+            if replica.version > version:
+                messages.append(self.rows_since(publisher, version))
+        return messages
 
-    def _answer_wanted(self, have):
+    def _requested_rows(self, have):
         return [
             self.rows_since(item.publisher, item.version)
             for item in have.versions
@@ -239,48 +248,50 @@
         ]
 
     def is_behind(self, have):
-        """Tell whether the sender of ``have`` holds what is missing here."""
+        """Return whether the sender of ``have`` has data missing here."""
         for item in have.versions:
             if self._is_folded(item.publisher):
                 continue
             if item.version > self.held_version(item.publisher):
                 return True
         return any(
-            through > self.folded_through(name)
-            for name, through in have.checkpoints.items()
+            through > self.folded_through(instance)
+            for instance, through in have.checkpoints.items()
         )
 
     def finish(self, publisher):
-        """Take note that a publisher counts no more."""
+        """Mark a publisher that will count no more as ready for folding."""
         if publisher == self.own or publisher not in self._publishers:
             return
         if self._publishers[publisher].rows:
             self.finished.add(publisher)
         else:
-            # It never counted anything, and not all have heard of it.
+            # It never counted anything, and some instances may not know it.
             del self._publishers[publisher]
 
     def finished_root(self):
-        """Return a number that stands for all finished publishers held.
+        """Return a hash over all finished publishers and their versions.
 
-        It does not change when they are folded, so instances can be
-        compared by it whether or not they have folded yet.
+        Folding does not change it, so it can be compared between instances
+        of which only some have folded.
         """
         root = 0
-        for held in self._checkpoints.values():
-            root ^= held.root
+        for checkpoint in self._checkpoints.values():
+            root ^= checkpoint.root
         for publisher in self.finished:
-            root ^= _hash(publisher, self._publishers[publisher].version)
+            root ^= _publisher_hash(
+                publisher, self._publishers[publisher].version
+            )
         return root
 
     def fold(self):
-        """Fold every finished publisher; return how many.
+        """Fold the finished publishers; return how many were folded.
 
-        Only to be called while all instances hold the same of them: a row
-        that were to arrive later would be dropped.  Publishers of an
-        instance are folded in the order of their incarnations and without
-        leaving one out, so that of two checkpoints of an instance the one
-        that goes further contains the other.
+        To be called only if all instances hold the same rows of them: a row
+        that arrived later would be dropped.  The publishers of an instance
+        are folded in the order of their incarnations without skipping any,
+        so of two checkpoints of an instance the one with the higher
+        incarnation contains the other.
         """
         count = 0
         for instance in sorted({item.instance for item in self.finished}):
@@ -292,77 +303,88 @@
         return count
 
     def _fold(self, publisher):
-        name = publisher.instance
-        into = self._checkpoints.setdefault(name, usage_rows.Checkpoint())
-        held = self._publishers.pop(publisher)
+        instance = publisher.instance
+        checkpoint = self._checkpoints.setdefault(
+            instance, usage_rows.Checkpoint()
+        )
+        replica = self._publishers.pop(publisher)
         self.finished.discard(publisher)
-        for key, row in held.rows.items():
-            into.rows.setdefault(key, Totals()).add(row.totals)
-        into.through = publisher.incarnation
-        into.root ^= _hash(publisher, held.version)
-        into.versions += held.version
-        self._changed_checkpoints.add(name)
+        for key, row in replica.rows.items():
+            checkpoint.rows.setdefault(key, Totals()).add(row.totals)
+        checkpoint.through = publisher.incarnation
+        checkpoint.root ^= _publisher_hash(publisher, replica.version)
+        checkpoint.versions += replica.version
+        self._changed_checkpoints.add(instance)
 
     def checkpoint_message(self, instance):
         """Return the checkpoint of an instance as a message."""
-        held = self._checkpoints[instance]
+        checkpoint = self._checkpoints[instance]
         rows = [
             usage.UsageRow(key, 0, totals)
-            for key, totals in sorted(held.rows.items())
+            for key, totals in sorted(checkpoint.rows.items())
         ]
         return usage.UsageCheckpoint(
-            instance, held.through, held.root, held.versions, rows
+            instance,
+            checkpoint.through,
+            checkpoint.root,
+            checkpoint.versions,
+            rows,
         )
 
     def adopt(self, message):
-        """Take in a checkpoint in place of what it contains."""
-        name = message.instance
-        if message.through <= self.folded_through(name):
+        """Replace all that a received checkpoint covers by its totals.
+
+        A checkpoint that covers no more than the present one is ignored.
+        """
+        instance = message.instance
+        if message.through <= self.folded_through(instance):
             return
         before = self.version()
-        self._drop_folded(name, message.through)
-        into = usage_rows.Checkpoint(
+        self._remove_folded(instance, message.through)
+        checkpoint = usage_rows.Checkpoint(
             message.through, message.root, message.versions
         )
         for row in message.rows:
-            into.rows[row.key] = row.totals.copy()
+            checkpoint.rows[row.key] = row.totals.copy()
             self.totals.add(row.key, row.totals)
-        self._checkpoints[name] = into
-        self._changed_checkpoints.add(name)
+        self._checkpoints[instance] = checkpoint
+        self._changed_checkpoints.add(instance)
         if self.version() < before:
-            # Held here was more than what was folded; see
-            # docs/design/ledger.md for when that can be.
+            # This instance held rows that were not folded into the
+            # checkpoint; docs/design/ledger.md says when that can happen.
             self.late += 1
 
-    def _drop_folded(self, instance, through):
+    def _remove_folded(self, instance, through):
         old = self._checkpoints.pop(instance, None)
         if old:
             for key, totals in old.rows.items():
-                self.totals.take(key, totals)
+                self.totals.subtract(key, totals)
         for publisher in self.publishers_of(instance):
             if publisher.incarnation > through or publisher == self.own:
                 continue
-            held = self._publishers.pop(publisher)
+            replica = self._publishers.pop(publisher)
             self.finished.discard(publisher)
-            for key, row in held.rows.items():
-                self.totals.take(key, row.totals)
+            for key, row in replica.rows.items():
+                self.totals.subtract(key, row.totals)
 
     def unsaved(self):
-        """Return what changed since the last call, for a disk's journal."""
-        out = [
-            self.checkpoint_message(name)
-            for name in sorted(self._changed_checkpoints)
+        """Return the changes since the last call, for the disk's journal."""
+        messages = [
+            self.checkpoint_message(instance)
+            for instance in sorted(self._changed_checkpoints)
         ]
         self._changed_checkpoints.clear()
-        for publisher, held in sorted(self._publishers.items()):
-            if held.unsaved:
-                rows = _rows(held, sorted(held.unsaved))
-                held.unsaved.clear()
-                out.append(usage.UsageRows(publisher, 0, held.version, rows))
-        return out
+        for publisher, replica in sorted(self._publishers.items()):
+            if replica.unsaved:
+                rows = _select_rows(replica, sorted(replica.unsaved))
+                replica.unsaved.clear()
+                messages.append(
+                    usage.UsageRows(publisher, 0, replica.version, rows)
+                )
+        return messages
 
     def snapshot(self):
-        """Return all that is held, for a disk."""
+        """Return the complete contents, to be written to disk."""
         return usage.LedgerSnapshot(
             [self.rows_since(item, 0) for item in sorted(self._publishers)],
             [
@@ -372,7 +394,7 @@
         )
 
     def restore(self, snapshot, journal=()):
-        """Take in what a disk held: a snapshot, and the journal since."""
+        """Merge a snapshot from disk and the journal written after it."""
         for message in (*snapshot.checkpoints, *snapshot.publishers, *journal):
             if isinstance(message, usage.UsageCheckpoint):
                 self.adopt(message)
@@ -380,13 +402,15 @@
                 self.merge(message)
 
 
-def _rows(held, keys):
+def _select_rows(replica, keys):
     return [
-        usage.UsageRow(key, held.rows[key].version, held.rows[key].totals)
+        usage.UsageRow(
+            key, replica.rows[key].version, replica.rows[key].totals
+        )
         for key in keys
     ]
 
 
-def _hash(publisher, version):
+def _publisher_hash(publisher, version):
     text = f"{publisher.instance}/{publisher.incarnation}/{version}"
     return digests.hash_of(text.encode())
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/server_counts.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/server_counts.py
@@ -1,7 +1,7 @@
-"""How many backend servers were ordered, by the log.
+"""Ordered numbers of backend servers, as replicated in the quorum log.
 
-An order is written down before it is given, so that whoever holds the duty
-next goes on from the last order and not from nothing.
+An order is logged before it is sent to the platform, so that the next lease
+holder continues from the last order and doesn't start from nothing.
 """
 
 import collections
@@ -12,7 +12,8 @@
 class Group(msgspec.Struct, array_like=True, frozen=True, order=True):
     """The servers of one service and kind in one failure domain.
 
-    ``spot`` servers cost less and may be taken away all at once.
+    The kinds are regular and ``spot`` servers; the latter cost less and may
+    be withdrawn by the platform all at once.
     """
 
     service: str
@@ -21,7 +22,7 @@
 
 
 def count(announcements):
-    """Return how many servers there are, by :class:`Group`."""
+    """Return the number of announced servers by :class:`Group`."""
     return collections.Counter(
         Group(item.service, item.failure_domain, item.spot)
         for item in announcements
@@ -29,10 +30,10 @@
 
 
 class CountOrder(msgspec.Struct, tag="server_count"):
-    """A log entry: ``count`` servers are wanted in a group.
+    """A log entry that orders ``count`` servers in a group.
 
-    ``needed`` is how many the group's failure domain needs of both kinds
-    together, by which later orders go.
+    ``needed`` is the number of servers that the group's failure domain needs
+    of both kinds together; later orders are based on it.
     """
 
     group: Group
@@ -41,13 +42,16 @@
 
 
 class CountResult(msgspec.Struct):
-    """The position at which an order stands."""
+    """The log position of an order."""
 
     version: int
 
 
 class OrderedCounts:
-    """The last order of each group; a pure function of the log."""
+    """The last order of each group; a pure function of the log.
+
+    ``orders`` and ``versions`` have the order and its log position by group.
+    """
 
     __slots__ = ("orders", "versions")
 
@@ -56,7 +60,7 @@
         self.versions = {}
 
     def apply(self, version, order):
-        """Apply the order that the log has at ``version``."""
+        """Apply the order at position ``version`` of the log."""
         self.orders[order.group] = order
         self.versions[order.group] = version
         return CountResult(version)
@@ -66,9 +70,9 @@
         return self.orders.get(group)
 
     def domains(self, service):
-        """Return the failure domains whose servers of ``service`` are known.
+        """Return the failure domains with an order for ``service``.
 
-        That is those for which regular servers were ordered.
+        Only orders for regular servers are considered.
         """
         return {
             group.failure_domain
@@ -79,14 +83,15 @@
     def snapshot(self):
         """Return the state for a checkpoint."""
         return [
-            (self.versions[key], held) for key, held in self.orders.items()
+            (self.versions[group], order)
+            for group, order in self.orders.items()
         ]
 
-    def restore(self, found):
-        """Take over the state of a checkpoint."""
+    def restore(self, state):
+        """Replace the state by that of a checkpoint."""
         self.orders = {}
         self.versions = {}
-        for version, held in msgspec.convert(
-            found, list[tuple[int, CountOrder]]
+        for version, order in msgspec.convert(
+            state, list[tuple[int, CountOrder]]
         ):
-            self.apply(version, held)
+            self.apply(version, order)
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/server_ends.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/server_ends.py
@@ -1,13 +1,13 @@
-"""Which requests were under way at backend servers that ended.
+"""Requests in progress at backend servers that crashed or otherwise ended.
 
-A request that crashes whatever server begins to run it comes again, with
-another id and at another instance, and has new servers each time.  So the
-instances tell one another which requests each ended server had not answered
-yet, by their fingerprints (:mod:`.fingerprints`).  Records only grow, so that
-they may arrive late, twice or out of order; a request that any server served
-to the end is cleared, which wins over all ends.
+A request that crashes every server that runs it is retried by its caller
+with another id and at another instance, and reaches new servers each time.
+So the instances share which requests each ended server had not answered yet,
+identified by fingerprint (:mod:`.fingerprints`).  Merging is monotonic, so
+records may arrive late, repeatedly or out of order; a request that any
+server completed is cleared, and that takes precedence over all ends.
 
-What follows from them is decided in :mod:`..decisions.crash_suspects`.
+:mod:`..decisions.crash_suspects` decides which requests to block.
 
     >>> table = EndsTable()
     >>> table.note("f1", ("s1", 0), 0.0, 0.0)
@@ -24,24 +24,26 @@
 
 from . import digests
 
-# Seconds that a record is kept after its last end, with one end and with
-# several.  The first is many resends long; the second keeps a request that
-# comes every few minutes from ending three servers each time.
+# Retention of a record after its last end, in seconds, with one end and with
+# several.  The first covers many retries by the caller; the second prevents
+# a request that is sent every few minutes from crashing three servers each
+# time.
 KEEP_ONE = 300.0
 KEEP_SEVERAL = 3600.0
-# Bounds on memory, about half a kilobyte a record, and on the ends of each:
-# some more than decide anything.  The records whose last end is oldest go.
+# Bounds on memory, at about half a kilobyte per record, and on the ends in
+# a record, which is somewhat more than any decision needs.  The records with
+# the oldest last end are evicted first.
 MOST_RECORDS = 4096
 MOST_ENDS = 24
-# What changed is compared with other instances after so many seconds: until
-# then it is on its way to them as news.
+# A changed record enters the digest that is compared with other instances
+# after this delay: until then the change is on its way to them as a message.
 SETTLE_SECONDS = 1.5
 
 
 class End(msgspec.Struct, array_like=True):
-    """One server's end, ``age`` seconds ago.
+    """The end of a server process, ``age`` seconds ago.
 
-    ``epoch`` tells which incarnation of ``server`` it was.
+    ``epoch`` identifies the incarnation of ``server``.
     """
 
     server: str
@@ -50,7 +52,7 @@
 
 
 class EndsRecord(msgspec.Struct, omit_defaults=True):
-    """What is known of one request; ``age`` is that of the last news."""
+    """The ends known for one request; ``age`` is that of the last change."""
 
     fingerprint: str
     age: float
@@ -59,13 +61,13 @@
 
 
 class EndsRecords(msgspec.Struct, tag="server_ends"):
-    """Records that the sender holds, for one that lacks them."""
+    """Message with records that the receiver is missing."""
 
     records: list[EndsRecord]
 
 
 class EndedServer(msgspec.Struct, array_like=True):
-    """A server that ended ``age`` seconds ago, and under which requests."""
+    """A server that ended ``age`` seconds ago, with its open requests."""
 
     server: str
     epoch: int
@@ -74,7 +76,7 @@
 
 
 class EndedServers(msgspec.Struct, tag="ended_servers"):
-    """News of servers that ended, and of suspects that were served."""
+    """Message with servers that ended and suspects that were completed."""
 
     ended: list[EndedServer]
     served: list[str] = []
@@ -83,10 +85,12 @@
 MESSAGES = (EndsRecords, EndedServers)
 
 
-class Suspect:
-    """One request, with the incarnations that ended under it, and when.
+class CrashSuspect:
+    """A request that may have crashed servers.
 
-    ``served`` tells that some server served it to the end.
+    ``ends`` maps the server incarnations that ended while they ran it to the
+    time of the end, ``last`` is the time of the last change, and ``served``
+    is true if some server completed the request.
     """
 
     __slots__ = ("ends", "served", "last")
@@ -97,26 +101,28 @@
         self.last = now
 
     def content(self):
-        """Return what is the same at all that hold the same.
+        """Return the value of the record in the digest.
 
-        Which ends are held of too many depends on their order.
+        It is equal at all instances that hold the same record.  If there
+        are more ends than are kept, which ones are kept depends on the
+        order of arrival, so they don't enter into it.
         """
         if self.served:
             return "served"
         return "many" if len(self.ends) >= MOST_ENDS else sorted(self.ends)
 
-    def keep_seconds(self):
-        """Return for how long after the last news it is kept."""
-        return keep_seconds(len(self.ends))
+    def retention_seconds(self):
+        """Return the retention after the last change, in seconds."""
+        return retention_seconds(len(self.ends))
 
 
-def keep_seconds(ends):
-    """Return for how long a record with so many ends is kept."""
-    return KEEP_SEVERAL if ends > 1 else KEEP_ONE
+def retention_seconds(end_count):
+    """Return the retention of a record with so many ends, in seconds."""
+    return KEEP_SEVERAL if end_count > 1 else KEEP_ONE
 
 
 class EndsTable:
-    """All suspects by fingerprint."""
+    """All suspects by fingerprint, with a digest for anti-entropy."""
 
     __slots__ = ("suspects", "digest", "_under", "_settling")
 
@@ -127,7 +133,7 @@
         self._settling = {}
 
     def settle(self, now):
-        """Let the digest have what changed a while ago."""
+        """Add changes older than ``SETTLE_SECONDS`` to the digest."""
         settled = [
             fingerprint
             for fingerprint, since in self._settling.items()
@@ -135,95 +141,97 @@
         ]
         for fingerprint in settled:
             del self._settling[fingerprint]
-            found = self.suspects[fingerprint]
-            self.digest.put(fingerprint, found.content())
+            suspect = self.suspects[fingerprint]
+            self.digest.put(fingerprint, suspect.content())
 
     def under(self, incarnation):
-        """Return the fingerprints of those that an incarnation ended under."""
+        """Return the fingerprints of an ended incarnation's open requests."""
         return self._under.get(incarnation, frozenset())
 
     def note(self, fingerprint, incarnation, at, now):
-        """Take note of an end ``at`` a moment; return whether it is news."""
-        found = self.suspects.get(fingerprint)
-        if found is None:
-            found = Suspect(at)
-        if found.served or incarnation in found.ends:
+        """Record an end at the time ``at``; return whether it was new."""
+        suspect = self.suspects.get(fingerprint)
+        if suspect is None:
+            suspect = CrashSuspect(at)
+        if suspect.served or incarnation in suspect.ends:
             return False
-        if len(found.ends) >= MOST_ENDS:
-            found.last = max(found.last, at)
+        if len(suspect.ends) >= MOST_ENDS:
+            suspect.last = max(suspect.last, at)
             return False
-        found.ends[incarnation] = at
-        found.last = max(found.last, at)
+        suspect.ends[incarnation] = at
+        suspect.last = max(suspect.last, at)
         self._under.setdefault(incarnation, set()).add(fingerprint)
-        self._enter(fingerprint, found, now)
+        self._put(fingerprint, suspect, now)
         return True
 
     def clear(self, fingerprint, at, now):
-        """Take note that a suspect was served; return whether it is news."""
-        found = self.suspects.get(fingerprint)
-        if found is None or found.served:
+        """Record that a suspect was completed; return whether it was new."""
+        suspect = self.suspects.get(fingerprint)
+        if suspect is None or suspect.served:
             return False
-        self._drop_ends(fingerprint, found)
-        found.served = True
-        found.last = max(found.last, at)
-        self._enter(fingerprint, found, now)
+        self._remove_ends(fingerprint, suspect)
+        suspect.served = True
+        suspect.last = max(suspect.last, at)
+        self._put(fingerprint, suspect, now)
         return True
 
     def enter(self, fingerprint, at, now):
-        """Hold a request of which nothing is known here yet."""
+        """Add a record for a request that is not known here yet."""
         if fingerprint not in self.suspects:
-            self._enter(fingerprint, Suspect(at), now)
+            self._put(fingerprint, CrashSuspect(at), now)
 
     def is_forgotten(self, record, delay):
-        """Tell whether another instance's record is too old to take in.
+        """Return whether another instance's record is too old to merge.
 
-        It may have been forgotten here, and would come back for ever.
+        It may have been removed here already, and merging it would let
+        instances pass it back and forth for ever.  ``delay`` is the time in
+        seconds that it took to get here.
         """
         if record.fingerprint in self.suspects:
             return False
-        return record.age + delay >= keep_seconds(len(record.ends))
+        return record.age + delay >= retention_seconds(len(record.ends))
 
     def record_of(self, fingerprint, now):
-        """Return the record that tells others what is held."""
-        found = self.suspects[fingerprint]
+        """Return the record of a request to send to other instances."""
+        suspect = self.suspects[fingerprint]
         return EndsRecord(
             fingerprint,
-            round(max(0.0, now - found.last), 3),
+            round(max(0.0, now - suspect.last), 3),
             [
                 End(name, epoch, round(max(0.0, now - at), 3))
-                for (name, epoch), at in found.ends.items()
+                for (name, epoch), at in suspect.ends.items()
             ],
-            found.served,
+            suspect.served,
         )
 
     def forget(self, now):
-        """Drop what is too old, and the oldest where there is too much.
+        """Remove expired records, and the oldest if there are too many.
 
-        Returns the fingerprints of what was dropped.
+        Returns the fingerprints of the removed records.
         """
         suspects = self.suspects
-        gone = [
+        removed = [
             fingerprint
-            for fingerprint, found in suspects.items()
-            if now - found.last > found.keep_seconds()
+            for fingerprint, suspect in suspects.items()
+            if now - suspect.last > suspect.retention_seconds()
         ]
-        if len(suspects) - len(gone) > MOST_RECORDS:
+        if len(suspects) - len(removed) > MOST_RECORDS:
             by_age = sorted(suspects, key=lambda item: suspects[item].last)
-            gone = by_age[: len(suspects) - MOST_RECORDS]
-        for fingerprint in gone:
-            self._drop_ends(fingerprint, suspects.pop(fingerprint))
+            removed = by_age[: len(suspects) - MOST_RECORDS]
+        for fingerprint in removed:
+            self._remove_ends(fingerprint, suspects.pop(fingerprint))
             self._settling.pop(fingerprint, None)
             self.digest.drop(fingerprint)
-        return gone
+        return removed
 
-    def _enter(self, fingerprint, found, now):
-        self.suspects[fingerprint] = found
+    def _put(self, fingerprint, suspect, now):
+        self.suspects[fingerprint] = suspect
         self._settling[fingerprint] = now
 
-    def _drop_ends(self, fingerprint, found):
-        for incarnation in found.ends:
-            under = self._under[incarnation]
-            under.discard(fingerprint)
-            if not under:
+    def _remove_ends(self, fingerprint, suspect):
+        for incarnation in suspect.ends:
+            fingerprints = self._under[incarnation]
+            fingerprints.discard(fingerprint)
+            if not fingerprints:
                 del self._under[incarnation]
-        found.ends.clear()
+        suspect.ends.clear()
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/server_loads.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/server_loads.py
@@ -1,38 +1,41 @@
-"""What instances tell one another of their work at backend servers.
+"""Load of backend servers, as instances report it to each other.
 
-Servers report their load to nobody here, and each sees work from many
-instances.  So every instance that has work under way says, a few times a
-second, how much of it is where, and which parts of prompts it has sent
-there.  The sum over all instances is a server's load, a tenth of a second
-old, at some hundred bytes a message.
+Here the servers themselves don't report load, and each gets requests from
+many instances.  So every instance with requests in progress announces, a few
+times per second, how many it has at each server and which parts of prompts
+it has sent there.  The sum over all instances is the load of a server, with
+an age of about 0.1 s, at about 100 bytes per message.
 """
 
 import collections
 
 import msgspec
 
-# What an instance said counts for so long: some missed messages more than
-# their interval, and less than a crashed instance's work takes to end.
-HELD_SECONDS = 1.0
-# Changes below these can wait: a quarter of a step of reading, and a small
-# part of what an engine runs at once.
-MATTERING_TOKENS = 1000
-MATTERING_REQUESTS = 4
-# What a relay holds for instances that ask it: 250 prompts a second at 195
-# instances, most of whose parts are no news, for a few seconds.
-MOST_READS = 2048
-READ_SECONDS = 20.0
-# Far above the instances of one failure domain, their earlier starts included.
-MOST_ASKERS = 1024
-# Marks the sum over all failure domains, which no domain is called.
+# A report is valid for this long: several times the report interval, so that
+# a few lost messages do no harm, but less than the requests of a crashed
+# instance take to end.
+REPORT_TTL_SECONDS = 1.0
+# Changes below these thresholds are not sent at once: a quarter of a prefill
+# step, and a small part of the requests that an engine runs concurrently.
+MIN_CHANGE_TOKENS = 1000
+MIN_CHANGE_REQUESTS = 4
+# Bounds on the log that a relay keeps for the instances that query it: enough
+# for a few seconds of 250 prompts per second at 195 instances, most parts of
+# which are already known.
+MAX_READS = 2048
+READ_RETENTION_SECONDS = 20.0
+# Far above the number of instances in a failure domain, including their
+# earlier incarnations.
+MAX_READERS = 1024
+# Stands for the sum over all failure domains; no domain has this name.
 ALL = "*"
 
 
 class Load(msgspec.Struct, array_like=True):
-    """One instance's work at one server.
+    """The requests that an instance has in progress at one server.
 
-    ``running`` counts requests, ``unread`` the prompt tokens of those that
-    have no output yet.
+    ``running`` is the number of requests, ``unread`` the number of prompt
+    tokens of those that have not produced any output yet.
     """
 
     server: str
@@ -41,18 +44,22 @@
 
 
 class Read(msgspec.Struct, array_like=True):
-    """Shared parts of a prompt that were sent to a server, in order."""
+    """Shared parts of a prompt that was sent to a server, in order.
+
+    Each part is a pair of its name and its number of tokens.
+    """
 
     server: str
     parts: list[tuple[str, int]]
 
 
 class ServerLoads(msgspec.Struct, tag="server_loads"):
-    """All work of the sender, and what it sent since its last message.
+    """Message with the sender's loads and the prompts sent since the last.
 
-    ``of`` is empty for the sender's own, else the failure domain whose sum
-    a relay tells, or ``ALL``.  With the latter comes which failure domains
-    have fallen silent to the relay.
+    ``of`` is empty if the loads are the sender's own.  In a message from a
+    relay it is the failure domain that the loads are the sum of, or ``ALL``;
+    with ``ALL``, ``silent`` lists the failure domains from which the relay
+    no longer receives anything.
     """
 
     loads: list[Load]
@@ -61,53 +68,57 @@
     silent: list[str] = []
 
 
-def differ(loads, before):
-    """Tell whether loads changed by so much that others should know.
+def differ(loads, previous):
+    """Return whether loads changed enough to be reported at once.
 
-    What they go by is mostly how much an engine has to read.
+    The number of unprocessed prompt tokens is the main input of the
+    placement decisions.
     """
-    held = {load.server: load for load in before}
+    remaining = {load.server: load for load in previous}
     for load in loads:
-        old = held.pop(load.server, None) or Load(load.server, 0, 0)
-        if _far(load, old):
+        old = remaining.pop(load.server, None) or Load(load.server, 0, 0)
+        if _significantly_different(load, old):
             return True
-    return any(_far(old, Load(name, 0, 0)) for name, old in held.items())
+    return any(
+        _significantly_different(old, Load(name, 0, 0))
+        for name, old in remaining.items()
+    )
 
 
-def _far(one, other):
+def _significantly_different(one, other):
     return (
-        abs(one.unread - other.unread) >= MATTERING_TOKENS
-        or abs(one.running - other.running) >= MATTERING_REQUESTS
+        abs(one.unread - other.unread) >= MIN_CHANGE_TOKENS
+        or abs(one.running - other.running) >= MIN_CHANGE_REQUESTS
     )
 
 
 def without(loads, own):
-    """Return ``loads`` less the part in them that is ``own``.
+    """Return ``loads`` with the contribution ``own`` subtracted.
 
-    The sum that a relay sends back holds what it heard from this instance
-    before, which may have changed a little since.
+    The sum that a relay sends includes the last report of this instance,
+    which may differ slightly from ``own``; no result is below 0.
     """
-    mine = {load.server: load for load in own}
-    found = []
+    own_by_server = {load.server: load for load in own}
+    remaining = []
     for load in loads:
-        part = mine.get(load.server)
-        if part is not None:
+        own_load = own_by_server.get(load.server)
+        if own_load is not None:
             load = Load(
                 load.server,
-                max(0, load.running - part.running),
-                max(0, load.unread - part.unread),
+                max(0, load.running - own_load.running),
+                max(0, load.unread - own_load.unread),
             )
-        found.append(load)
-    return found
+        remaining.append(load)
+    return remaining
 
 
 class LoadTable:
-    """The newest word of each speaker, and the sums by server.
+    """The last report of each reporter, and the sums by server.
 
-    The sums change with each word by what is new in it: a relay of 39
-    instances hears two hundred words a second, each of which would otherwise
-    be added up with all the others.  ``told_relay_at`` is when this instance
-    last told a relay of its own work.
+    The sums are updated incrementally by each report: a relay of 39
+    instances receives 200 reports per second, and recomputing the sums each
+    time would add up all the others again.  ``told_relay_at`` is when this
+    instance last sent its own loads to a relay.
     """
 
     __slots__ = ("told_relay_at", "_said", "_sums")
@@ -117,120 +128,121 @@
         self._said = {}
         self._sums = {}
 
-    def take(self, speaker, domain, loads, now):
-        """Take in a speaker's word in place of its last one.
+    def take(self, reporter, domain, loads, now):
+        """Replace the previous report of a reporter by ``loads``.
 
-        A speaker is an instance of ``domain``, or a domain or all of them,
-        by the word of a relay.
+        The reporter is an instance of ``domain`` or, for a sum that a relay
+        sends, the name of a failure domain or ``ALL``.
         """
-        self._drop(speaker)
-        self._said[speaker] = (now, domain, loads)
+        self._drop(reporter)
+        self._said[reporter] = (now, domain, loads)
         _add(self._sums, loads, 1)
 
-    def _drop(self, speaker):
-        held = self._said.pop(speaker, None)
-        if held is not None:
-            _add(self._sums, held[2], -1)
+    def _drop(self, reporter):
+        report = self._said.pop(reporter, None)
+        if report is not None:
+            _add(self._sums, report[2], -1)
 
     def forget(self, server):
-        """Drop what was said of a server, which has started again since."""
+        """Remove all reports about a server that has restarted."""
         for name, (at, domain, loads) in self._said.items():
             kept = [load for load in loads if load.server != server]
             self._said[name] = (at, domain, kept)
         self._sums.pop(server, None)
 
     def expire(self, now):
-        """Forget what was said too long ago."""
-        old = [
+        """Remove the reports that are older than their time to live."""
+        expired = [
             name
-            for name, held in self._said.items()
-            if now - held[0] > HELD_SECONDS
+            for name, report in self._said.items()
+            if now - report[0] > REPORT_TTL_SECONDS
         ]
-        for name in old:
+        for name in expired:
             self._drop(name)
 
     def sum_of(self, own, domain):
-        """Return the loads of ``domain``, with ``own``."""
+        """Return the sums over the instances of ``domain`` and ``own``."""
         sums = {}
         _add(sums, own, 1)
-        for name, held in self._said.items():
-            if held[1] == domain and name != ALL:
-                _add(sums, held[2], 1)
-        return _loads(sums)
+        for name, report in self._said.items():
+            if report[1] == domain and name != ALL:
+                _add(sums, report[2], 1)
+        return _loads_from_sums(sums)
 
     def sum_of_all(self, own):
-        """Return the loads of all speakers, with ``own``.
+        """Return the sums over all reporters and ``own``.
 
-        What another relay said of all is no speaker's own word: an instance
-        that has just become the relay holds it for a second still.
+        A total received from another relay is left out: an instance that
+        has just become the relay still holds one for a second.
         """
-        sums = {name: list(held) for name, held in self._sums.items()}
+        sums = {name: list(total) for name, total in self._sums.items()}
         if ALL in self._said:
             _add(sums, self._said[ALL][2], -1)
         _add(sums, own, 1)
-        return _loads(sums)
+        return _loads_from_sums(sums)
 
     def running(self, server):
-        """Return how many requests of others run at a server."""
-        held = self._sums.get(server)
-        return held[0] if held else 0
+        """Return the number of other instances' requests at a server."""
+        total = self._sums.get(server)
+        return total[0] if total else 0
 
     def unread(self, server):
-        """Return how many prompt tokens of others wait to be read there."""
-        held = self._sums.get(server)
-        return held[1] if held else 0
+        """Return the unprocessed prompt tokens of other instances there."""
+        total = self._sums.get(server)
+        return total[1] if total else 0
 
 
 def _add(sums, loads, sign):
-    """Add ``loads`` to ``sums``, or take them off again."""
+    """Add ``loads`` times ``sign`` (1 or -1) to ``sums``; drop zeros."""
     for load in loads:
-        held = sums.setdefault(load.server, [0, 0])
-        held[0] += sign * load.running
-        held[1] += sign * load.unread
-        if held == [0, 0]:
+        total = sums.setdefault(load.server, [0, 0])
+        total[0] += sign * load.running
+        total[1] += sign * load.unread
+        if total == [0, 0]:
             del sums[load.server]
 
 
-def _loads(sums):
+def _loads_from_sums(sums):
     return [
         Load(name, running, unread) for name, (running, unread) in sums.items()
     ]
 
 
 class ReadLog:
-    """What was read lately, for instances that ask a relay for news.
+    """Recently sent prompts, for instances that poll a relay for updates.
 
-    Each is told what came since it asked last, but for its own.  One that
-    has just started is told all that is held: without it, its first prompts
-    go where their parts have to be read again, 0.03 to 0.06 of what a day
-    with kills of many processes is worth.
+    Each instance gets the entries added since its last query, except its
+    own.  One that has just started gets all entries: without them, its first
+    prompts go to servers that have to compute the shared parts again, which
+    costs 0.03 to 0.06 of the score of a day on which many processes are
+    killed.
     """
 
     __slots__ = ("_reads", "_count", "_told")
 
     def __init__(self):
-        self._reads = collections.deque(maxlen=MOST_READS)
+        self._reads = collections.deque(maxlen=MAX_READS)
         self._count = 0
         self._told = {}
 
     def add(self, reads, source, now):
-        """Take in what ``source`` sent to servers."""
+        """Append the prompts that instance ``source`` sent to servers."""
         for read in reads:
             self._count += 1
             self._reads.append((self._count, now, source, read))
 
-    def news_for(self, asker, incarnation, now):
-        """Return what an instance has not been told."""
-        key = (asker, incarnation)
-        told = self._told.pop(key, 0)
+    def news_for(self, reader, incarnation, now):
+        """Return the entries that an instance has not received yet."""
+        key = (reader, incarnation)
+        last_sent = self._told.pop(key, 0)
         self._told[key] = self._count
-        while len(self._told) > MOST_ASKERS:
+        while len(self._told) > MAX_READERS:
             del self._told[next(iter(self._told))]
-        found = []
+        reads = []
         for number, at, source, read in reversed(self._reads):
-            if number <= told or now - at > READ_SECONDS:
+            if number <= last_sent or now - at > READ_RETENTION_SECONDS:
                 break
-            if source != asker:
-                found.append(read)
-        found.reverse()
-        return found
+            if source != reader:
+                reads.append(read)
+        reads.reverse()
+        return reads
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
@@ -1,10 +1,11 @@
-"""What this instance knows of backend servers.
-
-Records are ordered by ``(epoch, sequence)``, and within an epoch leaving
-wins over running whatever the sequence.  Leases are counted on this
-instance's own monotonic clock, from when the announcement was first heard
-anywhere: each hop adds the record's age, so that a skewed clock or a long
-way cannot prolong them.
+"""The registry of backend servers, with a lease for each of them.
+
+Records are ordered by ``(epoch, sequence)``; within an epoch, a record with
+``leaving`` set wins over one without, whatever its sequence.  Leases are
+measured on this instance's own monotonic clock, from the time at which any
+instance first received the announcement.  Each hop adds the time that the
+record spent there to its age, so neither clock skew nor a slow path extends
+a lease.
 """
 
 import msgspec
@@ -14,35 +15,37 @@
 from ..resources import announcements
 from . import vouches
 
-# A server that leaves or falls silent gets no new work after this long at
-# the most, whatever lease it asked for itself.
+# Upper bound on a lease in seconds, whatever lease the server announces:
+# after this time at most, a server that shut down or stopped announcing
+# itself gets no new work.
 LONGEST_LEASE = 3.0
-# Lapsed records stay this long, and so many at most, so that an older
-# announcement that is still on its way cannot bring the server back.
-KEEP_LAPSED = 60.0
-MOST_LAPSED = 10_000
+# Expired records are kept for this long, up to this number, so that an older
+# announcement that is still in transit cannot revive the server.
+EXPIRED_RETENTION_SECONDS = 60.0
+MAX_EXPIRED_RECORDS = 10_000
 
 
 class ServerRecord(msgspec.Struct):
-    """An announcement on its way between instances, ``age`` seconds old."""
+    """An announcement sent between instances; ``age`` is in seconds."""
 
     announcement: announcements.Announcement
     age: float = 0.0
 
 
 class ServerRecords(msgspec.Struct, tag="servers"):
-    """Records of backend servers that the sender holds."""
+    """Message with complete records of backend servers."""
 
     records: list[ServerRecord]
 
 
 class Renewal(msgspec.Struct, array_like=True):
-    """An announcement that changed nothing but its sequence and load.
+    """A compact announcement in which only sequence and load changed.
 
-    ``content`` stands for all the rest, so that a receiver that missed a
-    change asks for the whole record in place of renewing a stale one.
-    ``load`` has the fields of a load report in their order, or is empty
-    where the sender was short of bytes.
+    ``content`` is a hash of all other fields: a receiver that missed a
+    change sees the difference and requests the complete record instead of
+    renewing a stale one.  ``load`` has the values of a load report in field
+    order, or is empty if the sender's byte budget did not allow for it.
+    ``age`` is in seconds.
     """
 
     backend_server: str
@@ -54,16 +57,18 @@
 
 
 class Renewals(msgspec.Struct, tag="renewals"):
-    """Renewed leases, with load."""
+    """Message with lease renewals and load reports."""
 
     renewals: list[Renewal]
 
 
 class Server(msgspec.Struct):
-    """One backend server as it is seen from here.
+    """A backend server as known to this instance.
 
-    ``expires`` and ``heard`` are on this instance's clock; ``heard`` is
-    when the announcement was first heard by any instance.
+    ``expires`` and ``heard`` are times on this instance's monotonic clock;
+    ``heard`` is when any instance first received the announcement.
+    ``content`` is the hash of the announcement without sequence and load,
+    ``lease`` the duration of the lease in seconds.
     """
 
     announcement: announcements.Announcement
@@ -73,17 +78,21 @@
     lease: float = LONGEST_LEASE
 
     def serves(self, now):
-        """Tell whether new work may go to it."""
+        """Return whether the server may get new work."""
         return now < self.expires and not self.announcement.leaving
 
     def load_age(self, now):
-        """Return how many seconds ago its load was measured."""
+        """Return the age of the server's load report in seconds."""
         measured = self.announcement.load.measured_ms_ago / 1000.0
         return max(0.0, now - self.heard) + measured
 
 
 class ServerRegistry:
-    """All backend servers heard of, by name."""
+    """All known backend servers by name, with digests for anti-entropy.
+
+    ``digest`` covers the servers whose lease has not expired; ``running``
+    has the servers that accept work by failure domain.
+    """
 
     __slots__ = (
         "servers",
@@ -102,214 +111,226 @@
         self._lapsed = {}
         self._next_lapse = 0.0
 
-    def _lease_of(self, announcement):
-        """Return for how many seconds an announcement holds here."""
+    def _lease_seconds(self, announcement):
+        """Return the duration of the lease of an announcement, in seconds."""
         return min(announcement.lease, self.longest_lease)
 
     def learn(self, announcement, age, now):
-        """Take in a record and return whether it was news."""
+        """Merge a record of ``age`` seconds; return whether it was new."""
         name = announcement.backend_server
-        held = self.servers.get(name)
-        lease = self._lease_of(announcement)
-        if held is None:
+        server = self.servers.get(name)
+        lease = self._lease_seconds(announcement)
+        if server is None:
             if age >= lease and not announcement.leaving:
                 return False
-            held = Server(announcement, now - age, now - age + lease)
-            self.servers[name] = held
-        elif newer(announcement, held.announcement):
-            self._replace(held, announcement, now - age)
+            server = Server(announcement, now - age, now - age + lease)
+            self.servers[name] = server
+        elif supersedes(announcement, server.announcement):
+            self._replace(server, announcement, now - age)
         else:
-            return self._hear_again(held, announcement, now - age)
-        held.content = content_of(held.announcement)
-        self._enter(held)
+            return self._renew_from_copy(server, announcement, now - age)
+        server.content = content_hash(server.announcement)
+        self._index(server)
         return True
 
-    def _hear_again(self, held, announcement, heard):
-        """Renew a lease by a record that is no newer but was heard later.
+    def _renew_from_copy(self, server, announcement, heard):
+        """Renew a lease from a copy of the current record that is younger.
 
-        Relays vouch for servers without their sequences, so that two
-        instances may hold one announcement with different ages.
+        Relays renew leases without sending sequence numbers, so two
+        instances may hold the same announcement with different ages.
         """
-        if announcement.epoch != held.announcement.epoch:
+        if announcement.epoch != server.announcement.epoch:
             return False
-        if held.announcement.leaving or heard <= held.heard:
+        if server.announcement.leaving or heard <= server.heard:
             return False
-        if content_of(announcement) != held.content:
+        if content_hash(announcement) != server.content:
             return False
-        held.heard = heard
-        held.expires = heard + self._lease_of(held.announcement)
-        self._enter(held)
+        server.heard = heard
+        server.expires = heard + self._lease_seconds(server.announcement)
+        self._index(server)
         return True
 
-    def _enter(self, held):
-        """Keep the digests of those that have not lapsed."""
-        announcement = held.announcement
+    def _index(self, server):
+        """Enter a server in the digests and in the expiry bookkeeping."""
+        announcement = server.announcement
         name = announcement.backend_server
-        held.lease = self._lease_of(announcement)
+        server.lease = self._lease_seconds(announcement)
         self._lapsed.pop(name, None)
-        self._next_lapse = min(self._next_lapse, held.expires)
-        self.digest.put(name, held.content)
-        running = self.running.setdefault(
+        self._next_lapse = min(self._next_lapse, server.expires)
+        self.digest.put(name, server.content)
+        running_servers = self.running.setdefault(
             announcement.failure_domain, vouches.RunningServers()
         )
         if announcement.leaving:
-            running.drop(name)
+            running_servers.drop(name)
         else:
-            running.put(name, held)
+            running_servers.put(name, server)
 
-    def _leave_digests(self, name):
+    def _remove_from_digests(self, name):
         domain = self.servers[name].announcement.failure_domain
         self.digest.drop(name)
         self.running[domain].drop(name)
 
-    def _replace(self, held, announcement, heard):
-        before = held.announcement
+    def _replace(self, server, announcement, heard):
+        before = server.announcement
         if before.order() > announcement.order():
-            # A late word that the server leaves: the newest sequence must
-            # stay, or a record between the two would pass for news.
+            # A "leaving" announcement that arrived late.  The highest
+            # sequence is kept, or a record with a sequence between the two
+            # would be accepted as new.
             announcement = msgspec.structs.replace(
                 announcement, sequence=before.sequence
             )
-            heard = held.heard
+            heard = server.heard
         elif before.epoch == announcement.epoch:
-            # A relay may have vouched for it since that announcement.
-            heard = max(heard, held.heard)
+            # A relay may have renewed the lease after that announcement.
+            heard = max(heard, server.heard)
         if before.failure_domain != announcement.failure_domain:
-            self._leave_digests(announcement.backend_server)
-        # The object is kept, since the directory's lists point to it.
-        held.announcement = announcement
-        held.heard = heard
-        held.expires = heard + self._lease_of(announcement)
-        _check_order(before, announcement)
+            self._remove_from_digests(announcement.backend_server)
+        # Updated in place, since the lists of the directory refer to it.
+        server.announcement = announcement
+        server.heard = heard
+        server.expires = heard + self._lease_seconds(announcement)
+        _check_record_order(before, announcement)
 
     def renew(self, renewal, age, now):
-        """Take in a renewal and return whether it was news.
+        """Apply a renewal of ``age`` seconds; return whether it was new.
 
-        Returns ``None`` where the whole record is needed first.
+        Returns ``None`` if the complete record must be fetched first.
         """
-        held = self.servers.get(renewal.backend_server)
-        if held is None:
+        server = self.servers.get(renewal.backend_server)
+        if server is None:
             return None if age < self.longest_lease else False
-        before = held.announcement
+        before = server.announcement
         order = (renewal.epoch, renewal.sequence)
         if order <= before.order() or _has_left(before, renewal.epoch):
             return False
-        if renewal.epoch != before.epoch or renewal.content != held.content:
+        if renewal.epoch != before.epoch or renewal.content != server.content:
             return None
-        load = _load_of(renewal) or _older(before.load, now - held.heard)
-        held.announcement = msgspec.structs.replace(
+        load = _decode_load(renewal) or _aged_load(
+            before.load, now - server.heard
+        )
+        server.announcement = msgspec.structs.replace(
             before, sequence=renewal.sequence, load=load
         )
-        held.heard = now - age
-        held.expires = held.heard + self._lease_of(before)
-        self._enter(held)
-        _check_order(before, held.announcement)
+        server.heard = now - age
+        server.expires = server.heard + self._lease_seconds(before)
+        self._index(server)
+        _check_record_order(before, server.announcement)
         return True
 
     def vouch(self, domain, now):
-        """Return the word for all running servers of a failure domain."""
+        """Return a vouch that renews all running servers of a domain."""
         return self.running[domain].vouch(domain, now)
 
     def vouched(self, vouch, delay, now):
-        """Take in a relay's word; return whether it renewed anything."""
-        running = self.running.get(vouch.failure_domain)
-        return running is not None and running.renew(vouch, delay, now)
+        """Apply a vouch of a relay; return whether it was accepted.
+
+        ``delay`` is the time in seconds that it took to get here.
+        """
+        running_servers = self.running.get(vouch.failure_domain)
+        return running_servers is not None and running_servers.renew(
+            vouch, delay, now
+        )
 
     def renewal_of(self, name, now):
-        """Return the renewal that tells others what is held."""
-        held = self.servers[name]
-        announcement = held.announcement
+        """Return a renewal of a server's lease to send to other instances."""
+        server = self.servers[name]
+        announcement = server.announcement
         load = announcement.load
         return Renewal(
             name,
             announcement.epoch,
             announcement.sequence,
-            held.content,
-            round(max(0.0, now - held.heard), 3),
+            server.content,
+            round(max(0.0, now - server.heard), 3),
             [load.running, load.waiting, load.kv_used, load.measured_ms_ago],
         )
 
     def record_of(self, name, now):
-        """Return the whole record that tells others what is held."""
-        held = self.servers[name]
-        age = round(max(0.0, now - held.heard), 3)
-        return ServerRecord(held.announcement, age)
+        """Return a server's complete record to send to other instances."""
+        server = self.servers[name]
+        age = round(max(0.0, now - server.heard), 3)
+        return ServerRecord(server.announcement, age)
 
     def serving(self, now):
-        """Return the servers that may get new work."""
+        """Return all servers that may get new work."""
         return [item for item in self.servers.values() if item.serves(now)]
 
-    def forget(self, now, after=KEEP_LAPSED):
-        """Drop servers that lapsed more than ``after`` seconds ago.
+    def forget(self, now, after=EXPIRED_RETENTION_SECONDS):
+        """Remove servers whose lease expired over ``after`` seconds ago.
 
-        Lapsed servers leave the digests at once, since instances forget
-        them at different moments.  Leases only grow, so nothing can have
-        lapsed before the first end of a lease seen at the last look.
+        Returns their names.  Expired servers are removed from the digests
+        at once, since instances remove the records at different times.
+        Leases are only ever extended, so no lease can have expired before
+        the earliest expiry that the previous scan found.
         """
         if now < self._next_lapse:
             return []
-        for name, held in self.servers.items():
-            if held.expires < now and name not in self._lapsed:
-                self._lapsed[name] = held.expires
-                self._leave_digests(name)
-        running = [
-            held.expires
-            for name, held in self.servers.items()
+        for name, server in self.servers.items():
+            if server.expires < now and name not in self._lapsed:
+                self._lapsed[name] = server.expires
+                self._remove_from_digests(name)
+        expiries = [
+            server.expires
+            for name, server in self.servers.items()
             if name not in self._lapsed
         ]
-        self._next_lapse = min(running, default=now + 1.0)
+        self._next_lapse = min(expiries, default=now + 1.0)
         if self._lapsed:
             self._next_lapse = min(self._next_lapse, now + 1.0)
-        return self._forget_lapsed(now - after)
+        return self._remove_expired(now - after)
 
-    def _forget_lapsed(self, before):
-        surplus = len(self._lapsed) - MOST_LAPSED
-        gone = [
+    def _remove_expired(self, before):
+        surplus = len(self._lapsed) - MAX_EXPIRED_RECORDS
+        removed = [
             name
             for rank, (name, expires) in enumerate(self._lapsed.items())
             if rank < surplus or expires < before
         ]
-        for name in gone:
+        for name in removed:
             del self.servers[name]
             del self._lapsed[name]
-        return gone
+        return removed
 
 
-def _load_of(renewal):
+def _decode_load(renewal):
     if len(renewal.load) != len(announcements.Load.__struct_fields__):
         return None
     *counts, measured = renewal.load
     return announcements.Load(*[int(count) for count in counts], measured)
 
 
-def _older(load, seconds):
-    """Return a load report that a renewal without one leaves in place."""
+def _aged_load(load, seconds):
+    """Return a load report aged by ``seconds``.
+
+    A renewal that carries no load keeps the previous report, aged.
+    """
     measured = load.measured_ms_ago + 1000.0 * max(0.0, seconds)
     return msgspec.structs.replace(load, measured_ms_ago=measured)
 
 
-def newer(announcement, held):
-    """Tell whether an announcement displaces the one that is held."""
-    if _has_left(held, announcement.epoch):
-        return announcement.leaving and announcement.order() > held.order()
-    if announcement.leaving and announcement.epoch == held.epoch:
+def supersedes(announcement, current):
+    """Return whether an announcement replaces the ``current`` one."""
+    if _has_left(current, announcement.epoch):
+        return announcement.leaving and announcement.order() > current.order()
+    if announcement.leaving and announcement.epoch == current.epoch:
         return True
-    return announcement.order() > held.order()
+    return announcement.order() > current.order()
 
 
-def content_of(announcement):
-    """Return a number for all that a renewal does not carry."""
+def content_hash(announcement):
+    """Return a hash of all fields that a renewal does not carry."""
     constant = msgspec.structs.replace(
         announcement, sequence=0, load=announcements.Load()
     )
     return digests.hash_of(msgspec.json.encode(constant))
 
 
-def _has_left(held, epoch):
-    return held.leaving and held.epoch == epoch
+def _has_left(announcement, epoch):
+    return announcement.leaving and announcement.epoch == epoch
 
 
-def _check_order(before, after):
+def _check_record_order(before, after):
     invariants.check(
         after.order() >= before.order(),
         "server_record_never_displaced_by_older",
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/usage.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/usage.py
@@ -1,8 +1,8 @@
-"""What organisations used, as numbers that merge and as they cross a wire.
+"""Usage counts of organisations, and the messages that replicate them.
 
-Within one publisher, an incarnation of an instance, every count only grows.
-So of two rows for the same key the greater counts are the later ones, and
-rows can be merged in any order, late and repeatedly.
+Counts of one publisher (an incarnation of an instance) never decrease.  So
+of two rows with the same key the greater counts are the later ones, and rows
+can be merged in any order, late and repeatedly.
 """
 
 import msgspec
@@ -23,8 +23,8 @@
         self.output_tokens += other.output_tokens
         self.wasted_tokens += other.wasted_tokens
 
-    def less(self, other):
-        """Return these counts without those of ``other``."""
+    def minus(self, other):
+        """Return these counts minus those of ``other``."""
         return Totals(
             self.requests - other.requests,
             self.prompt_tokens - other.prompt_tokens,
@@ -33,11 +33,11 @@
         )
 
     def copy(self):
-        """Return the same counts as an object of their own."""
+        """Return a copy of the counts."""
         return Totals(*self.counts())
 
     def counts(self):
-        """Return the counts in the order of their fields."""
+        """Return the counts as a tuple, in field order."""
         return (
             self.requests,
             self.prompt_tokens,
@@ -46,12 +46,12 @@
         )
 
     def tokens(self):
-        """Return the tokens that count towards an organisation's limits."""
+        """Return the number of tokens charged to an organisation's limits."""
         return self.prompt_tokens + self.output_tokens
 
 
-def greater(one, other):
-    """Return the greater of each count."""
+def maximum(one, other):
+    """Return the maximum of each count."""
     return Totals(
         max(one.requests, other.requests),
         max(one.prompt_tokens, other.prompt_tokens),
@@ -61,7 +61,7 @@
 
 
 class UsageKey(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """What a count is kept for; ``day`` is a UTC date, as 2026-03-14."""
+    """The key of a row; ``day`` is a UTC date such as 2026-03-14."""
 
     day: str
     organisation: str
@@ -69,7 +69,7 @@
 
 
 class UsageRow(msgspec.Struct, array_like=True):
-    """One count of a publisher, last changed at its ``version``."""
+    """A row of a publisher, last changed at the publisher's ``version``."""
 
     key: UsageKey
     version: int
@@ -77,17 +77,17 @@
 
 
 class Publisher(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """Who counted: one incarnation of an instance."""
+    """The source of counts: one incarnation of an instance."""
 
     instance: str
     incarnation: int
 
 
 class UsageRows(msgspec.Struct, tag="usage_rows"):
-    """All rows of a publisher that changed after version ``since``.
+    """Message with the rows of a publisher changed after ``since``.
 
-    Whoever holds the publisher up to ``since`` holds it up to ``through``
-    once these are merged.
+    A receiver that holds all versions up to ``since`` holds all up to
+    ``through`` once it has merged the rows.
     """
 
     publisher: Publisher
@@ -97,18 +97,19 @@
 
 
 class PublisherVersion(msgspec.Struct, array_like=True):
-    """Up to which version a publisher is held without gaps."""
+    """The version up to which a publisher is held without gaps."""
 
     publisher: Publisher
     version: int
 
 
 class UsageHave(msgspec.Struct, tag="usage_have"):
-    """What the sender holds: publishers, and checkpoints by instance.
+    """Message with the versions and checkpoints that the sender holds.
 
-    ``ask`` tells that it would like to hear the same of the receiver,
-    where that is behind; ``whole`` that it holds nothing else, so that what
-    is not named is wanted from the first row.
+    ``checkpoints`` maps an instance to its highest folded incarnation.
+    ``ask`` requests the same message from a receiver that is behind.
+    ``whole`` means that the list is complete, so the receiver answers with
+    all rows of the publishers that are not in it.
     """
 
     versions: list[PublisherVersion]
@@ -118,10 +119,10 @@
 
 
 class UsageCheckpoint(msgspec.Struct, tag="usage_checkpoint"):
-    """The sum of all publishers of an instance up to ``through``.
+    """The sum over all publishers of an instance up to ``through``.
 
-    ``root`` is the exclusive or of the hashes of what was folded, and
-    ``versions`` the sum of their versions.
+    ``through`` is an incarnation, ``root`` the XOR of the hashes of the
+    folded publishers and ``versions`` the sum of their versions.
     """
 
     instance: str
@@ -132,7 +133,7 @@
 
 
 class LedgerSnapshot(msgspec.Struct):
-    """All that a ledger holds, for a disk."""
+    """The complete contents of a ledger, as written to disk."""
 
     publishers: list[UsageRows]
     checkpoints: list[UsageCheckpoint]
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/usage_rows.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/usage_rows.py
@@ -1,4 +1,4 @@
-"""What the usage ledger holds of a publisher and of an instance."""
+"""The rows of a publisher and the checkpoint of an instance in the ledger."""
 
 import msgspec
 
@@ -6,18 +6,19 @@
 
 
 class Row(msgspec.Struct):
-    """The totals of one key, last changed at a publisher's ``version``."""
+    """The totals of one key, last changed at the publisher's ``version``."""
 
     version: int
     totals: usage.Totals
 
 
-class HeldRows:
-    """What is held of one publisher.
+class PublisherRows:
+    """The rows of one publisher, as far as this instance holds them.
 
-    ``version`` is up to where nothing is missing, ``ahead`` the ranges of
-    versions that came before what precedes them.  ``rows`` are in the order
-    of their versions as long as ``ordered`` says so.
+    ``version`` is the version up to which there are no gaps, ``ahead`` has
+    the version ranges received beyond a gap.  ``rows`` are in the order of
+    their versions while ``ordered`` is true; ``newest`` is the highest of
+    these.  ``unsaved`` has the keys changed since the last write to disk.
     """
 
     __slots__ = ("version", "ahead", "rows", "ordered", "newest", "unsaved")
@@ -30,15 +31,15 @@
         self.newest = 0
         self.unsaved = set()
 
-    def put_last(self, key, row):
-        """Move a row that changed to the end, where the newest are."""
+    def move_to_end(self, key, row):
+        """Move a changed row to the end, behind all older versions."""
         self.rows.pop(key, None)
         self.rows[key] = row
         self.ordered = self.ordered and row.version >= self.newest
         self.newest = max(self.newest, row.version)
 
-    def covers(self, since, through):
-        """Take note of a range; return whether nothing is missing."""
+    def add_range(self, since, through):
+        """Record a received version range; return whether no gap is left."""
         self.ahead.append((since, through))
         self.ahead.sort()
         while self.ahead and self.ahead[0][0] <= self.version:
@@ -47,7 +48,11 @@
 
 
 class Checkpoint:
-    """The folded publishers of one instance, up to an incarnation."""
+    """The folded publishers of one instance, up to incarnation ``through``.
+
+    ``root`` is the XOR of their hashes, ``versions`` the sum of their
+    versions.
+    """
 
     __slots__ = ("through", "root", "versions", "rows")
 
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/usage_windows.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/usage_windows.py
@@ -1,13 +1,14 @@
-"""What organisations began to run in each window of the time of day.
+"""Requests started by each organisation, by time window.
 
-An instance that serves callers counts what its requests began
-(:class:`WindowCounter`) and tells the holder of the platform's duties, which
-adds up what all of them told (:class:`ReportedWindows`).  The counts of a
-window become final through the quorum log (:class:`DecidedWindows`): of
-several proposals for a window the first is taken, so that two holders can
-never report one window differently.
+An instance that serves callers counts the requests that were started
+(:class:`WindowCounter`) and reports the counts to the instance that holds
+the lease for the platform's duties, which adds up all reports
+(:class:`ReportedWindows`).  The counts of a window become final through the
+quorum log (:class:`DecidedWindows`): the first of several proposals for a
+window is accepted, so two lease holders can never report different counts
+for the same window.
 
-Window ``k`` begins ``k`` times the length of a window after 1970.
+Window ``k`` begins ``k`` times the window length after the Unix epoch.
 """
 
 import math
@@ -17,26 +18,26 @@
 from .. import invariants
 from . import usage
 
-# Decided windows that the platform has not taken are kept for this many
-# windows; beyond that the platform has been away for hours.
-MOST_KEPT = 2048
-# Windows that nobody could decide are kept for so many by those who counted.
-MOST_OPEN = 720
+# Number of decided windows kept until the platform has accepted them; more
+# accumulate only if the platform has been unreachable for hours.
+MAX_DECIDED_WINDOWS = 2048
+# Number of windows that an instance keeps while none can be decided.
+MAX_OPEN_WINDOWS = 720
 
 
 class WindowUse(msgspec.Struct, array_like=True):
-    """How many requests each organisation began in a window."""
+    """Number of requests started in a window, by organisation."""
 
     window: int
     counts: dict[str, int]
 
 
 class WindowReport(msgspec.Struct, tag="window_report"):
-    """What one incarnation of an instance counted.
+    """Message with the counts of one incarnation of an instance.
 
-    Counts of a window only grow, so the greater of two is the later one.
-    ``through`` is a time of day: of what began before it, nothing is left
-    to be counted.
+    The counts of a window never decrease, so the greater of two is the later
+    one.  ``through`` is a wall-clock time in seconds: all requests started
+    before it have been counted.
     """
 
     publisher: usage.Publisher
@@ -45,9 +46,9 @@
 
 
 class WindowDecision(msgspec.Struct, tag="window_decision"):
-    """A log entry: these are the counts of a window.
+    """A log entry with the final counts of a window.
 
-    The platform has taken all windows up to ``taken``.
+    The platform has accepted all windows up to ``taken``.
     """
 
     window: int
@@ -56,13 +57,16 @@
 
 
 class WindowResult(msgspec.Struct):
-    """Whether the entry decided its window."""
+    """Result of a log entry: whether it decided its window."""
 
     decided: bool
 
 
 class WindowCounter:
-    """One instance's counts, until their windows are decided."""
+    """An instance's own counts, kept until their windows are decided.
+
+    ``seconds`` is the length of a window.
+    """
 
     __slots__ = ("seconds", "_open", "_changed")
 
@@ -71,65 +75,65 @@
         self._open = {}
         self._changed = set()
 
-    def window_at(self, moment):
-        """Return the window in which a time of day lies."""
-        return math.floor(moment / self.seconds)
+    def window_at(self, wall_time):
+        """Return the number of the window that contains a wall-clock time."""
+        return math.floor(wall_time / self.seconds)
 
-    def count(self, organisation, moment):
-        """Count a request that began at a time of day."""
-        window = self.window_at(moment)
+    def count(self, organisation, wall_time):
+        """Count a request that was started at a wall-clock time."""
+        window = self.window_at(wall_time)
         counts = self._open.setdefault(window, {})
         counts[organisation] = counts.get(organisation, 0) + 1
         self._changed.add(window)
-        while len(self._open) > MOST_OPEN:
+        while len(self._open) > MAX_OPEN_WINDOWS:
             self._drop(min(self._open))
 
     def changed(self):
-        """Return the windows counted into since this was last asked."""
-        found = self._uses(self._changed)
+        """Return the windows whose counts changed since the last call."""
+        changed = self._window_uses(self._changed)
         self._changed.clear()
-        return found
+        return changed
 
     def open_windows(self):
-        """Return all windows that are not decided."""
+        """Return all windows that are not decided yet."""
         self._changed.clear()
-        return self._uses(self._open)
+        return self._window_uses(self._open)
 
     def settle(self, through):
-        """Forget all windows up to ``through``; return what was untold.
+        """Remove all windows up to ``through``, which have been decided.
 
-        That is how many requests began in these windows and were counted
-        after the last word of this instance.
+        Returns how many requests are in those of these windows that changed
+        after the last report of this instance.
         """
         settled = [item for item in self._open if item <= through]
-        untold = sum(
+        unreported = sum(
             sum(self._open[item].values())
             for item in settled
             if item in self._changed
         )
         for window in settled:
             self._drop(window)
-        return untold
+        return unreported
 
     def _drop(self, window):
         del self._open[window]
         self._changed.discard(window)
 
-    def _uses(self, windows):
+    def _window_uses(self, windows):
         return [
             WindowUse(item, dict(self._open[item])) for item in sorted(windows)
         ]
 
 
 class _Reported(msgspec.Struct):
-    """What one publisher told."""
+    """The merged reports of one publisher."""
 
     through: float
     windows: dict
 
 
 class ReportedWindows:
-    """What all instances told, as the holder of the duty adds it up."""
+    """The reports of all instances, as added up by the lease holder."""
 
     __slots__ = ("_publishers",)
 
@@ -137,51 +141,56 @@
         self._publishers = {}
 
     def merge(self, report):
-        """Take in a report; it may be late or repeated."""
-        held = self._publishers.get(report.publisher)
-        if held is None:
-            held = _Reported(report.through, {})
-            self._publishers[report.publisher] = held
-        held.through = max(held.through, report.through)
+        """Merge a report, which may be late or a duplicate."""
+        reported = self._publishers.get(report.publisher)
+        if reported is None:
+            reported = _Reported(report.through, {})
+            self._publishers[report.publisher] = reported
+        reported.through = max(reported.through, report.through)
         for use in report.windows:
-            counts = held.windows.setdefault(use.window, {})
+            counts = reported.windows.setdefault(use.window, {})
             for organisation, count in use.counts.items():
                 counts[organisation] = max(counts.get(organisation, 0), count)
 
     def sums(self, window):
-        """Return what all organisations began in a window."""
+        """Return the total counts of a window by organisation."""
         total = {}
-        for held in self._publishers.values():
-            for organisation, count in held.windows.get(window, {}).items():
+        for reported in self._publishers.values():
+            for organisation, count in reported.windows.get(
+                window, {}
+            ).items():
                 total[organisation] = total.get(organisation, 0) + count
         return total
 
     def earliest(self):
-        """Return the first window that anything is told of, or ``None``."""
+        """Return the first window that was reported, or ``None``."""
         windows = [
             window
-            for held in self._publishers.values()
-            for window in held.windows
+            for reported in self._publishers.values()
+            for window in reported.windows
         ]
         return min(windows, default=None)
 
-    def told_through(self, instance, moment):
-        """Tell whether an instance told all that began before a moment."""
+    def told_through(self, instance, wall_time):
+        """Return whether an instance reported all counts before a time."""
         return any(
-            held.through >= moment
-            for publisher, held in self._publishers.items()
+            reported.through >= wall_time
+            for publisher, reported in self._publishers.items()
             if publisher.instance == instance
         )
 
     def settle(self, through):
-        """Forget all windows up to ``through``, and who told nothing else."""
-        for publisher, held in list(self._publishers.items()):
-            held.windows = {
+        """Remove all windows up to ``through``, which have been decided.
+
+        Also removes superseded publishers without any other window.
+        """
+        for publisher, reported in list(self._publishers.items()):
+            reported.windows = {
                 window: counts
-                for window, counts in held.windows.items()
+                for window, counts in reported.windows.items()
                 if window > through
             }
-            if not held.windows and self._is_superseded(publisher):
+            if not reported.windows and self._is_superseded(publisher):
                 del self._publishers[publisher]
 
     def _is_superseded(self, publisher):
@@ -193,7 +202,11 @@
 
 
 class DecidedWindows:
-    """The final counts of windows; a pure function of the log."""
+    """The final counts of windows; a pure function of the log.
+
+    ``last`` is the window decided last, and ``taken`` the last one that the
+    platform has accepted.
+    """
 
     __slots__ = ("last", "taken", "counts")
 
@@ -203,10 +216,10 @@
         self.counts = {}
 
     def apply(self, version, decision):
-        """Apply the decision that the log has at ``version``.
+        """Apply the decision at position ``version`` of the log.
 
-        Windows are decided one after the other.  One that is decided stays
-        as it is, whoever proposes it again.
+        Windows are decided in sequence.  A second proposal for a decided
+        window is rejected.
         """
         if self.last is not None and decision.window != self.last + 1:
             return WindowResult(False)
@@ -218,7 +231,7 @@
         self.last = decision.window
         self.counts[decision.window] = decision.counts
         self._note_taken(decision.taken)
-        while len(self.counts) > MOST_KEPT:
+        while len(self.counts) > MAX_DECIDED_WINDOWS:
             del self.counts[min(self.counts)]
         return WindowResult(True)
 
@@ -234,11 +247,13 @@
         return {
             "last": self.last,
             "taken": self.taken,
-            "counts": {str(key): held for key, held in self.counts.items()},
+            "counts": {
+                str(key): counts for key, counts in self.counts.items()
+            },
         }
 
-    def restore(self, found):
-        """Take over the state of a checkpoint."""
-        self.last = found["last"]
-        self.taken = found["taken"]
-        self.counts = {int(key): val for key, val in found["counts"].items()}
+    def restore(self, state):
+        """Replace the state by that of a checkpoint."""
+        self.last = state["last"]
+        self.taken = state["taken"]
+        self.counts = {int(key): val for key, val in state["counts"].items()}
