--- a/packages/dandeliontrail/src/dandeliontrail/effects/__init__.py
+++ b/packages/dandeliontrail/src/dandeliontrail/effects/__init__.py
@@ -1,4 +1,4 @@
-"""Everything that the reducer may ask of the outside, as data."""
+"""The effects that the reducer can request, as plain data."""
 
 from .config import AppendLog
 from .config import ReplaceLog
--- a/packages/dandeliontrail/src/dandeliontrail/effects/config.py
+++ b/packages/dandeliontrail/src/dandeliontrail/effects/config.py
@@ -1,4 +1,4 @@
-"""Effects that answer operators and keep the log on the disk."""
+"""Effects that answer operators and write the log to disk."""
 
 import msgspec
 
@@ -6,16 +6,16 @@
 
 
 class WriteAnswered(msgspec.Struct):
-    """The result of the write that came in as ``write_id``."""
+    """The result of the operator's write or read ``write_id``."""
 
     write_id: str
     result: changes.Result
 
 
 class AppendLog(msgspec.Struct):
-    """Append ``records`` to the disk, sync, then report ``LogSynced``.
+    """Append ``records`` to the log on disk, sync, then send ``LogSynced``.
 
-    Writes are carried out in the order in which they come.
+    Writes are executed in the order in which they were requested.
     """
 
     ticket: int
@@ -23,7 +23,7 @@
 
 
 class ReplaceLog(msgspec.Struct):
-    """Put ``checkpoint`` and ``records`` in place of all on the disk."""
+    """Replace the log on disk by ``checkpoint`` and ``records``."""
 
     ticket: int
     checkpoint: bytes
@@ -31,9 +31,9 @@
 
 
 class VoterAnswered(msgspec.Struct):
-    """The leader's answer to a change of keepers.
+    """The leader's answer to a request to add or remove a keeper.
 
-    ``remedy`` is empty where the change was accepted.
+    ``remedy`` is empty if the change was accepted.
     """
 
     request_id: str
--- a/packages/dandeliontrail/src/dandeliontrail/effects/duties.py
+++ b/packages/dandeliontrail/src/dandeliontrail/effects/duties.py
@@ -1,4 +1,4 @@
-"""Effects that go to the platform, from one instance at a time."""
+"""Calls to the platform, made by only one instance at a time."""
 
 import typing
 
@@ -8,14 +8,14 @@
 
 
 class ReportUsage(msgspec.Struct):
-    """Tell the platform the final counts of a window."""
+    """Report the final counts of a usage window to the platform."""
 
     window: int
     counts: dict[str, int]
 
 
 class SetServerCount(msgspec.Struct):
-    """Have the platform keep so many servers of a group.
+    """Order the platform to run ``count`` servers of a group.
 
     ``version`` is the log position of the order.
     """
@@ -26,10 +26,10 @@
 
 
 class PerformDuty(msgspec.Struct):
-    """Make ``call`` under the fencing number ``fencing``.
+    """Make ``call`` with the fencing token ``fencing``.
 
-    Whoever carries it out asks the lease once more after the connection
-    stands, right before the first byte.
+    The executor must check the lease once more after the connection has
+    been established, immediately before it sends the first byte.
     """
 
     call: typing.Union[ReportUsage, SetServerCount]
--- a/packages/dandeliontrail/src/dandeliontrail/effects/orders.py
+++ b/packages/dandeliontrail/src/dandeliontrail/effects/orders.py
@@ -1,4 +1,4 @@
-"""Effects that go to engines as orders."""
+"""Effects that send orders to engines."""
 
 import msgspec
 
@@ -6,10 +6,11 @@
 
 
 class GiveOrder(msgspec.Struct):
-    """Send ``order`` to the engine at ``url``.
+    """Send ``order`` with fencing token ``fencing`` to the engine at ``url``.
 
-    Whoever carries it out asks ``LeaseHolder.may_send`` once more after
-    the connection stands, right before the first byte.
+    The executor must call ``LeaseHolder.may_send`` once more after the
+    connection has been established, immediately before it sends the first
+    byte.  ``checks_fencing`` is true if the engine checks the token.
     """
 
     order: model_orders.Order
--- a/packages/dandeliontrail/src/dandeliontrail/effects/peers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/effects/peers.py
@@ -1,4 +1,4 @@
-"""Effects that go to other instances."""
+"""Effects that send messages to other instances."""
 
 import typing
 
--- a/packages/dandeliontrail/src/dandeliontrail/effects/reports.py
+++ b/packages/dandeliontrail/src/dandeliontrail/effects/reports.py
@@ -1,4 +1,4 @@
-"""Effects that tell people what happened."""
+"""Effects that record metrics and log lines."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Metric(enum.Enum):
-    """What the histograms hold, each in milliseconds."""
+    """The metrics with histograms, each in milliseconds."""
 
     FIRST_TOKEN = "first_token_ms"
     BETWEEN_TOKENS = "between_tokens_ms"
@@ -15,7 +15,7 @@
 
 
 class Measure(msgspec.Struct):
-    """One value for the histogram of a class and of an organisation."""
+    """A sample for the histograms of a class and of an organisation."""
 
     metric: Metric
     class_name: str
--- a/packages/dandeliontrail/src/dandeliontrail/effects/requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/effects/requests.py
@@ -1,4 +1,4 @@
-"""Effects that go to the exchange of one request."""
+"""Effects on the exchange of one request with its caller and servers."""
 
 import msgspec
 
@@ -10,9 +10,9 @@
 class Dispatch(msgspec.Struct):
     """Send the request to a backend server, as attempt ``attempt``.
 
-    After ``patience`` without a byte the attempt counts as silent.  One that
-    is sent while a silent one is waited for is a hedge: whichever speaks first
-    has the request.
+    ``patience`` has the silence timeouts: an attempt that sends nothing for
+    that long counts as silent.  An attempt started beside a silent one is a
+    hedge; the first of the two to send anything gets the request.
     """
 
     request_id: str
@@ -25,23 +25,23 @@
 
 
 class Replay(msgspec.Struct):
-    """Give the caller the stored answer of its idempotency key."""
+    """Send the caller the answer stored for its idempotency key."""
 
     request_id: str
     answer: claims.StoredAnswer
 
 
 class Abandon(msgspec.Struct):
-    """Stop working on a request: nobody waits for it any more."""
+    """Stop working on a request that nobody is waiting for any more."""
 
     request_id: str
 
 
 class Refuse(msgspec.Struct):
-    """Answer the caller without a result.
+    """Send the caller an error answer.
 
-    ``outcome`` is ``not-run`` or ``unknown``; ``status`` the HTTP status
-    and ``code`` the error code of the contract.
+    ``status`` is the HTTP status, ``code`` the error code of the API and
+    ``outcome`` either ``not-run`` or ``unknown``.
     """
 
     request_id: str
@@ -54,26 +54,26 @@
 
 
 class CutOff(msgspec.Struct):
-    """Tell the caller ``refusal`` now and stop, whatever is going on."""
+    """Send the caller ``refusal`` now and abort the exchange."""
 
     refusal: Refuse
 
 
 class Withdraw(msgspec.Struct):
-    """Let go of the hedge ``attempt``; the silent one is waited for on."""
+    """Abort the hedge ``attempt``; the silent attempt goes on."""
 
     request_id: str
     attempt: int
 
 
 class Cancel(msgspec.Struct):
-    """Stop the work of ``request_id`` at the server at ``url``."""
+    """Cancel the request ``request_id`` at the server at ``url``."""
 
     request_id: str
     url: str
 
 
 class DropConnections(msgspec.Struct):
-    """Close the idle connections to ``url``: who they led to is gone."""
+    """Close the idle connections to ``url``, whose server is gone."""
 
     url: str
--- a/packages/dandeliontrail/src/dandeliontrail/effects/usage.py
+++ b/packages/dandeliontrail/src/dandeliontrail/effects/usage.py
@@ -1,4 +1,4 @@
-"""Effects that keep usage on the disk of a keeper."""
+"""Effects that write usage to the disk of a keeper."""
 
 import msgspec
 
@@ -6,12 +6,12 @@
 
 
 class AppendUsage(msgspec.Struct):
-    """Add what changed to the journal of usage on the disk."""
+    """Append changed rows and checkpoints to the usage journal on disk."""
 
     entries: list
 
 
 class ReplaceUsage(msgspec.Struct):
-    """Put a snapshot of all usage in place of the journal so far."""
+    """Replace the usage on disk by a snapshot and an empty journal."""
 
     snapshot: usage.LedgerSnapshot
--- a/packages/dandeliontrail/src/dandeliontrail/events/__init__.py
+++ b/packages/dandeliontrail/src/dandeliontrail/events/__init__.py
@@ -1,7 +1,7 @@
-"""Everything that can happen to an instance, as data.
+"""The events that an instance handles, as plain data.
 
-Each event is one thing that the outside told the instance.  Time is not in
-them: the reducer is handed the present time beside each event.
+Each event is one input from outside the reducer.  Events carry no time
+stamp: the reducer gets the current time as an argument beside each event.
 """
 
 from .config import InForceAsked
--- a/packages/dandeliontrail/src/dandeliontrail/events/config.py
+++ b/packages/dandeliontrail/src/dandeliontrail/events/config.py
@@ -1,4 +1,4 @@
-"""Events that change the declared objects, and those of their disk."""
+"""Events of operators' reads and writes, and of the log on disk."""
 
 import msgspec
 
@@ -8,43 +8,46 @@
 
 
 class WriteSubmitted(msgspec.Struct):
-    """An operator's change; ``write_id`` pairs it with its answer."""
+    """An operator's change; ``write_id`` correlates it with its answer."""
 
     write_id: str
     change: changes.Change
 
 
 class RevisionSubmitted(msgspec.Struct):
-    """A whole configuration, checked; ``write_id`` pairs the answer."""
+    """A complete, validated configuration revision.
+
+    ``write_id`` correlates it with its answer.
+    """
 
     write_id: str
     revision: revisions.Revision
 
 
 class ReadSubmitted(msgspec.Struct):
-    """An operator's read that must not be stale.
+    """An operator's linearizable read.
 
-    It is answered like a write, once this instance has all that was
-    accepted before.
+    It is answered in the same way as a write, as soon as this instance has
+    applied everything that was accepted before the read.
     """
 
     read_id: str
 
 
 class LogSynced(msgspec.Struct):
-    """The write ``ticket`` and all before it are synced."""
+    """The write ``ticket`` and all earlier ones are synced to disk."""
 
     ticket: int
 
 
 class StorageFailed(msgspec.Struct):
-    """A write or sync failed; what the disk holds is not known."""
+    """A write or sync failed; the contents of the disk are unknown."""
 
     detail: str
 
 
 class VoterChangeAsked(msgspec.Struct):
-    """An operator wants a keeper added or removed."""
+    """An operator's request to add or remove a keeper (a log replica)."""
 
     request_id: str
     action: voters.VoterAction
@@ -52,6 +55,6 @@
 
 
 class InForceAsked(msgspec.Struct):
-    """An operator wants to know which instances are at ``version``."""
+    """An operator's query for the instances that are at ``version``."""
 
     version: int
--- a/packages/dandeliontrail/src/dandeliontrail/events/duties.py
+++ b/packages/dandeliontrail/src/dandeliontrail/events/duties.py
@@ -7,13 +7,13 @@
 
 
 class ClockRead(msgspec.Struct):
-    """The clock on the wall shows ``wall``, in seconds since 1970."""
+    """A reading of the wall clock, in seconds since the Unix epoch."""
 
     wall: float
 
 
 class DutyAnswer(enum.Enum):
-    """How the platform answered a call, if it did."""
+    """The outcome of a call to the platform."""
 
     TAKEN = "taken"
     REFUSED = "refused"
@@ -23,9 +23,10 @@
 
 
 class DutyAnswered(msgspec.Struct):
-    """What became of a call to the platform (``effects.PerformDuty``).
+    """The result of a call to the platform (``effects.PerformDuty``).
 
-    ``call`` is the call itself; ``detail`` says more for the log.
+    ``call`` is the call itself and ``fencing`` the fencing token that it was
+    made with; ``detail`` is further information for the log.
     """
 
     call: typing.Any
--- a/packages/dandeliontrail/src/dandeliontrail/events/orders.py
+++ b/packages/dandeliontrail/src/dandeliontrail/events/orders.py
@@ -1,4 +1,4 @@
-"""Events about orders to engines and about their caches."""
+"""Events about orders sent to engines and about the engines' caches."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class OrderAnswer(enum.Enum):
-    """What became of an order that was sent, or was not."""
+    """The outcome of an order, including that it could not be sent."""
 
     ACCEPTED = "accepted"
     STALE_FENCING = "stale_fencing"
@@ -18,7 +18,7 @@
 
 
 class OrderAnswered(msgspec.Struct):
-    """The answer to the order ``key``, sent under ``fencing``."""
+    """The result of order ``key``, sent with fencing token ``fencing``."""
 
     key: str
     fencing: int
--- a/packages/dandeliontrail/src/dandeliontrail/events/peers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/events/peers.py
@@ -8,17 +8,17 @@
 
 
 class Started(msgspec.Struct):
-    """The instance is about to serve; ``address`` is its peer listener."""
+    """The instance starts; ``address`` is that of its peer listener."""
 
     address: str
 
 
 class Left(msgspec.Struct):
-    """The instance is about to end and will not come back as it is."""
+    """The instance shuts down; this incarnation will not return."""
 
 
 class PeerMessageReceived(msgspec.Struct):
-    """A message of another instance, already checked by the codec."""
+    """A message from another instance, validated by the codec."""
 
     source: messages.Sender
     message: typing.Any
--- a/packages/dandeliontrail/src/dandeliontrail/events/requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/events/requests.py
@@ -1,4 +1,4 @@
-"""Events in the life of one request."""
+"""Events in the lifecycle of one request."""
 
 import msgspec
 
@@ -6,11 +6,11 @@
 
 
 class RequestReceived(msgspec.Struct):
-    """A caller's request, read whole and well formed.
+    """A caller's request, read completely and well formed.
 
-    ``timeout`` is in seconds from now, ``prompt_tokens`` an estimate made
-    from the length of the body.  Exactly one of ``model`` and ``service``
-    is not empty.
+    ``timeout`` is in seconds from now, ``prompt_tokens`` is estimated from
+    the length of the body.  Exactly one of ``model`` and ``service`` is not
+    empty.
     """
 
     request_id: str
@@ -29,12 +29,14 @@
 
 
 class RoutedRequestReceived(msgspec.Struct):
-    """A caller's request for a declared route, its head read and checked.
-
-    ``timeout`` is what the caller allows, in seconds from now, or ``None``.
-    ``parts`` are those of the prompt, as ``(name, tokens)``, the shared ones
-    first; it is empty where the request generates nothing.  ``content``
-    stands for its method, path and body, the same each time it is sent.
+    """A caller's request for a declared route, with its header validated.
+
+    ``timeout`` is the caller's timeout in seconds from now, or ``None``.
+    ``parts`` has the parts of the prompt as ``(name, tokens)``, shared parts
+    first; it is empty if the request does not generate output.  ``draw`` is
+    the random number in [0, 1) that selects a service of a weighted split.
+    ``content`` is a hash of method, path and body, which is the same each
+    time that the request is sent.
     """
 
     request_id: str
@@ -58,11 +60,11 @@
 
 
 class NotBegun(msgspec.Struct):
-    """It is certain that attempt ``attempt`` did not start any work.
+    """Attempt ``attempt`` certainly did not start any work.
 
-    ``server_said`` is true where the server itself answered ``not-run``,
-    false where no byte of the request left this instance; ``gone`` where
-    another server answered at its address.
+    ``server_said`` is true if the server itself answered ``not-run``, and
+    false if no byte of the request left this instance.  ``gone`` is true if
+    another server answered at its address.  ``retry_after`` is in seconds.
     """
 
     request_id: str
@@ -74,16 +76,16 @@
 
 
 class FirstOutput(msgspec.Struct):
-    """The first event of the answer came in."""
+    """The first event of the answer was received."""
 
     request_id: str
     attempt: int
 
 
 class AttemptSilent(msgspec.Struct):
-    """Nothing came of the attempt for as long as its patience lasts.
+    """The attempt sent nothing within its silence timeout.
 
-    It is waited for on; another server may be asked beside it.
+    The attempt goes on; a hedged request to another server may be started.
     """
 
     request_id: str
@@ -91,9 +93,9 @@
 
 
 class AttemptSpoke(msgspec.Struct):
-    """Of a silent attempt and the one beside it, this one spoke first.
+    """This attempt was the first of a hedged pair to send anything.
 
-    The other one has been let go.
+    The pair is a silent attempt and its hedge; the other has been aborted.
     """
 
     request_id: str
@@ -101,10 +103,11 @@
 
 
 class AnswerFinished(msgspec.Struct):
-    """The answer came in whole.
+    """The answer was received completely.
 
-    ``gaps_ms`` samples the time between two outputs; ``answer`` is what to
-    hold for resends, where the request has an idempotency key.
+    ``gaps_ms`` has samples of the time between two outputs, in milliseconds.
+    ``answer`` is the answer to store for retries, if the request has an
+    idempotency key.
     """
 
     request_id: str
@@ -116,13 +119,13 @@
 
 
 class AttemptFailed(msgspec.Struct):
-    """The attempt broke off after it may have begun.
+    """The attempt failed after the server may have started to run it.
 
-    ``relayed`` counts the events that the caller already has.  ``answered``
-    is the status of a whole answer that the server failed with, which the
-    caller gets if no other server can be asked, and 0 without one.
-    ``closed`` tells that the connection ended in the middle of the exchange,
-    which is all that can be seen of a server that ends.
+    ``relayed`` is the number of events already sent to the caller.
+    ``answered`` is the HTTP status of a complete error answer, which the
+    caller gets if no other server can be tried, and 0 without one.
+    ``closed`` is true if the connection was closed during the exchange,
+    which is the only visible sign of a server process that ended.
     """
 
     request_id: str
@@ -134,18 +137,18 @@
 
 
 class CallerGone(msgspec.Struct):
-    """The caller closed its connection before the answer was whole."""
+    """The caller closed its connection before the answer was complete."""
 
     request_id: str
 
 
 class Overdue(msgspec.Struct):
-    """The caller's own deadline passed while an attempt was running."""
+    """The caller's deadline passed while an attempt was in progress."""
 
     request_id: str
 
 
 class CutShort(msgspec.Struct):
-    """The instance ends now, before this request has."""
+    """The instance shuts down before this request has finished."""
 
     request_id: str
--- a/packages/dandeliontrail/src/dandeliontrail/events/servers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/events/servers.py
@@ -6,6 +6,6 @@
 
 
 class Announced(msgspec.Struct):
-    """A backend server announced itself to this instance directly."""
+    """A backend server sent its announcement to this instance directly."""
 
     announcement: announcements.Announcement
--- a/packages/dandeliontrail/src/dandeliontrail/events/usage.py
+++ b/packages/dandeliontrail/src/dandeliontrail/events/usage.py
@@ -1,4 +1,4 @@
-"""Events about usage that come from the node itself."""
+"""Events about usage accounting, sent by the process itself."""
 
 import msgspec
 
@@ -6,13 +6,19 @@
 
 
 class DayBegan(msgspec.Struct):
-    """A UTC day, as 2026-03-14, began; sent first before any request."""
+    """A UTC day such as 2026-03-14 began.
+
+    The first one is sent before any request.
+    """
 
     day: str
 
 
 class UsageLoaded(msgspec.Struct):
-    """What the disk held at the start: a snapshot and the journal since."""
+    """The usage read from disk at the start.
+
+    It consists of a snapshot and the journal written after it.
+    """
 
     snapshot: usage.LedgerSnapshot
     journal: list = msgspec.field(default_factory=list)
