--- a/packages/dandeliontrail/src/dandeliontrail/resources/__init__.py
+++ b/packages/dandeliontrail/src/dandeliontrail/resources/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' objects: their shape, their checks and their store."""
+"""The objects that operators declare: schemas, validation and storage."""
--- a/packages/dandeliontrail/src/dandeliontrail/resources/announcement_checks.py
+++ b/packages/dandeliontrail/src/dandeliontrail/resources/announcement_checks.py
@@ -1,9 +1,10 @@
-"""Checks on what backend servers say of themselves.
+"""Validation of the announcements of backend servers.
 
-An announcement is spread to every instance and decides where requests go,
-so an absurd one must be stopped at the instance that it reaches first.  The
-bounds are far beyond any real server: they keep one faulty server from
-taking memory or arithmetic beyond what the decisions are made for.
+An announcement is replicated to every instance and decides where requests
+go, so an invalid one must be rejected by the instance that receives it
+first.  The bounds are far above the values of any real server: they prevent
+a single faulty server from using excessive memory or from exceeding the
+range of numbers that the decisions are designed for.
 """
 
 import math
@@ -12,18 +13,18 @@
 from .. import errors
 
 KINDS = ("model_engine", "service")
-LONGEST_TEXT = 256
-LONGEST_URL = 1024
-MOST_MODELS = 256
-MOST_ADAPTERS = 1024
-MOST_SLOTS = 65_536
-# Numbers are kept within what JSON readers everywhere hold exactly
+MAX_TEXT_LENGTH = 256
+MAX_URL_LENGTH = 1024
+MAX_MODELS = 256
+MAX_ADAPTERS = 1024
+MAX_SLOTS = 65_536
+# The largest integer that all JSON implementations represent exactly
 # (RFC 8259, section 6).
-MOST = 2**53 - 1
+MAX_INTEGER = 2**53 - 1
 
 
 def check(announcement):
-    """Raise ``ResourceInvalid`` unless an announcement makes sense."""
+    """Raise ``ResourceInvalid`` unless an announcement is valid."""
     _check_texts(announcement)
     _require(
         announcement.kind in KINDS,
@@ -44,16 +45,16 @@
 def _check_texts(announcement):
     for field in ("backend_server", "failure_domain", "service", "role"):
         value = getattr(announcement, field)
-        needed = field == "backend_server" or (
+        required = field == "backend_server" or (
             field == "service" and announcement.kind == "service"
         )
         _require(
-            len(value) <= LONGEST_TEXT
+            len(value) <= MAX_TEXT_LENGTH
             and value.isprintable()
-            and (value or not needed),
+            and (value or not required),
             field,
             value,
-            f"{'1' if needed else '0'} to {LONGEST_TEXT} printable letters",
+            f"{'1' if required else '0'} to {MAX_TEXT_LENGTH} printable characters",
         )
 
 
@@ -68,12 +69,14 @@
         ("load.kv_used", load.kv_used),
         ("load.measured_ms_ago", load.measured_ms_ago),
     ):
-        _require(0 <= value <= MOST, field, value, f"0 to {MOST}")
+        _require(
+            0 <= value <= MAX_INTEGER, field, value, f"0 to {MAX_INTEGER}"
+        )
     _require(
-        0 <= announcement.slots <= MOST_SLOTS,
+        0 <= announcement.slots <= MAX_SLOTS,
         "slots",
         announcement.slots,
-        f"0 to {MOST_SLOTS}",
+        f"0 to {MAX_SLOTS}",
     )
     _require(
         math.isfinite(announcement.lease) and announcement.lease > 0,
@@ -85,30 +88,30 @@
 
 def _check_models(announcement):
     _require(
-        len(announcement.models) <= MOST_MODELS,
+        len(announcement.models) <= MAX_MODELS,
         "models",
         len(announcement.models),
-        f"at most {MOST_MODELS} models",
+        f"at most {MAX_MODELS} models",
     )
     for model in announcement.models:
         _require(
-            len(model.adapters) <= MOST_ADAPTERS,
+            len(model.adapters) <= MAX_ADAPTERS,
             "models.adapters",
             len(model.adapters),
-            f"at most {MOST_ADAPTERS} adapters",
+            f"at most {MAX_ADAPTERS} adapters",
         )
         for name in (model.name, model.version, *model.adapters):
             _require(
-                len(name) <= LONGEST_TEXT,
+                len(name) <= MAX_TEXT_LENGTH,
                 "models",
                 name,
-                f"names of at most {LONGEST_TEXT} letters",
+                f"names of at most {MAX_TEXT_LENGTH} characters",
             )
 
 
 def _is_url(text):
-    """Tell whether a client could connect to ``text``."""
-    if len(text) > LONGEST_URL or not text.isprintable() or " " in text:
+    """Return whether ``text`` is a URL that a client can connect to."""
+    if len(text) > MAX_URL_LENGTH or not text.isprintable() or " " in text:
         return False
     try:
         parts = urllib.parse.urlsplit(text)
@@ -122,11 +125,11 @@
     )
 
 
-def _require(holds, field, value, allowed):
-    if not holds:
+def _require(condition, field, value, allowed):
+    if not condition:
         shown = repr(value)[:80]
         raise errors.ResourceInvalid(
             field,
             f"{shown} is not allowed; allowed: {allowed}.",
-            "correct it in what the backend server announces",
+            "correct the field in the announcement of the backend server",
         )
--- a/packages/dandeliontrail/src/dandeliontrail/resources/announcements.py
+++ b/packages/dandeliontrail/src/dandeliontrail/resources/announcements.py
@@ -1,4 +1,4 @@
-"""What a backend server says of itself, as it crosses the wire."""
+"""Announcements of backend servers, in their wire format."""
 
 import typing
 
@@ -6,7 +6,7 @@
 
 
 class Model(msgspec.Struct):
-    """One model, or an adapter over one, that an engine has loaded."""
+    """A model that an engine has loaded, with its adapters."""
 
     name: str
     version: str = ""
@@ -14,7 +14,11 @@
 
 
 class Load(msgspec.Struct):
-    """An engine's own view of its load, ``measured_ms_ago`` old."""
+    """The load of an engine as measured by the engine itself.
+
+    ``running`` and ``waiting`` count requests, ``kv_used`` tokens of its
+    key-value cache.
+    """
 
     running: int = 0
     waiting: int = 0
@@ -25,9 +29,9 @@
 class Announcement(msgspec.Struct):
     """One announcement; ``(epoch, sequence)`` orders those of a server.
 
-    ``lease`` is in seconds: how long the server may be taken for alive
-    without hearing from it again.  A ``spot`` server may be taken away by
-    the platform at short notice.
+    ``lease`` is in seconds: for how long the server counts as alive without
+    a further announcement.  ``leaving`` announces its shutdown.  A ``spot``
+    server may be withdrawn by the platform at short notice.
     """
 
     backend_server: str
@@ -48,7 +52,7 @@
     spot: bool = False
 
     def order(self):
-        """Return the pair by which a newer announcement is told."""
+        """Return the pair by which announcements are ordered."""
         return (self.epoch, self.sequence)
 
 
@@ -64,10 +68,10 @@
 
 
 class CacheEvents(msgspec.Struct, tag="cache_events"):
-    """A batch of cache events, in the order of their sequence numbers.
+    """A batch of cache events in the order of their sequence numbers.
 
-    They come late, repeated and with gaps; ``first_sequence`` is that of
-    the first event here.
+    Batches may arrive late, repeatedly and with gaps between them;
+    ``first_sequence`` is the sequence number of the first event.
     """
 
     backend_server: str
--- a/packages/dandeliontrail/src/dandeliontrail/resources/changes.py
+++ b/packages/dandeliontrail/src/dandeliontrail/resources/changes.py
@@ -1,8 +1,8 @@
-"""Changes to the declared objects and their results, as logged and sent.
+"""Changes to the declared objects and their results.
 
 A change is atomic: all its operations take effect at one version or none
-does.  These types cross the wire and the disk, so a field is only ever
-added, with a default.
+does.  These types are sent over the network and stored on disk, so fields
+may only be added, and with a default.
 """
 
 import enum
@@ -21,8 +21,8 @@
     """One step of a change.
 
     ``if_match`` is the version that the object must have for the change to
-    take effect: zero demands that it does not exist, ``None`` demands
-    nothing.
+    take effect: 0 requires that the object does not exist, and ``None``
+    makes the operation unconditional.
     """
 
     verb: Verb
@@ -33,7 +33,7 @@
 
 
 class Change(msgspec.Struct, tag="change"):
-    """What an operator asked for, under an ``operation_id`` of its own."""
+    """An operator's change, identified by a unique ``operation_id``."""
 
     operation_id: str
     operations: list[Operation]
@@ -41,7 +41,7 @@
 
 
 class ResultKind(enum.Enum):
-    """How a change ended."""
+    """The outcome of a change."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -52,10 +52,11 @@
 
 
 class Result(msgspec.Struct):
-    """The answer to a change.
+    """The result of a change.
 
-    ``version`` is the log position of the change where it was accepted and
-    the present version of the object where it conflicts.
+    ``version`` is the log position of an accepted change; for a conflict it
+    is the current version of the object.  ``field`` names the invalid field,
+    and ``remedy`` says how to correct the change.
     """
 
     kind: ResultKind
--- a/packages/dandeliontrail/src/dandeliontrail/resources/checks.py
+++ b/packages/dandeliontrail/src/dandeliontrail/resources/checks.py
@@ -1,4 +1,4 @@
-"""Checks on the operators' objects, made before a change is accepted."""
+"""Validation of operators' changes before they are accepted."""
 
 import re
 
@@ -7,8 +7,8 @@
 from .. import errors
 from . import specs
 
-NAME = re.compile(r"[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?")
-KEY = re.compile(r"sha256:[0-9a-f]{64}")
+NAME_PATTERN = re.compile(r"[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?")
+KEY_PATTERN = re.compile(r"sha256:[0-9a-f]{64}")
 LOWEST_PRIORITY = 15
 
 
@@ -17,7 +17,10 @@
 
 
 def kind_of(text):
-    """Return the kind called ``text``."""
+    """Return the :class:`.specs.Kind` named ``text``.
+
+    Raises ``ResourceInvalid`` for an unknown kind.
+    """
     try:
         return specs.Kind(text)
     except ValueError:
@@ -27,18 +30,24 @@
         )
 
 
-def present(held, operation):
-    """Raise unless the object that ``operation`` names exists."""
-    if held is None:
+def require_present(resource, operation):
+    """Raise :class:`NoSuchObject` if ``resource`` is ``None``.
+
+    ``resource`` is the object that ``operation`` names.
+    """
+    if resource is None:
         raise NoSuchObject(
             f"There is no {operation.kind}/{operation.name}.",
             "list the kind to see the names that exist",
         )
 
 
-def decode(kind, operation):
-    """Return the checked spec of a put."""
-    if not NAME.fullmatch(operation.name):
+def decode_spec(kind, operation):
+    """Return the decoded and validated spec of a put operation.
+
+    Raises ``ResourceInvalid`` if the name or the spec is invalid.
+    """
+    if not NAME_PATTERN.fullmatch(operation.name):
         raise errors.ResourceInvalid(
             "name",
             f"{operation.name!r} is not a name.",
@@ -54,15 +63,15 @@
     return spec
 
 
-def _require(holds, field, message, remedy):
-    if not holds:
+def _require(condition, field, message, remedy):
+    if not condition:
         raise errors.ResourceInvalid(field, message, remedy)
 
 
-def _organisation(spec):
+def _check_organisation(spec):
     for key in spec.keys:
         _require(
-            KEY.fullmatch(key),
+            KEY_PATTERN.fullmatch(key),
             "spec.keys",
             "a key is not a hash.",
             "give sha256: and the 64 hex digits of the key's hash",
@@ -75,7 +84,7 @@
     )
 
 
-def _request_class(spec):
+def _check_request_class(spec):
     _require(
         0 <= spec.priority <= LOWEST_PRIORITY,
         "spec.priority",
@@ -90,7 +99,7 @@
     )
 
 
-def _backend_pool(spec):
+def _check_backend_pool(spec):
     _require(
         spec.select.kind in ("", "model_engine", "service"),
         "spec.select.kind",
@@ -99,7 +108,7 @@
     )
 
 
-def _model_placement(spec):
+def _check_model_placement(spec):
     _require(
         0 <= spec.minimum_copies <= spec.maximum_copies,
         "spec.minimum_copies",
@@ -109,8 +118,8 @@
 
 
 _CHECKS = {
-    specs.Kind.ORGANISATIONS: _organisation,
-    specs.Kind.REQUEST_CLASSES: _request_class,
-    specs.Kind.BACKEND_POOLS: _backend_pool,
-    specs.Kind.MODEL_PLACEMENTS: _model_placement,
+    specs.Kind.ORGANISATIONS: _check_organisation,
+    specs.Kind.REQUEST_CLASSES: _check_request_class,
+    specs.Kind.BACKEND_POOLS: _check_backend_pool,
+    specs.Kind.MODEL_PLACEMENTS: _check_model_placement,
 }
--- a/packages/dandeliontrail/src/dandeliontrail/resources/history.py
+++ b/packages/dandeliontrail/src/dandeliontrail/resources/history.py
@@ -1,8 +1,8 @@
-"""The recent changes of the declared objects, for watches and roll-backs.
+"""The recent changes of the declared objects, for watches and rollbacks.
 
-It is part of the replicated state: every instance keeps the same changes,
-and a checkpoint carries them, so a watch resumes on another instance or
-after a restart where it left off.
+The history is part of the replicated state: every instance keeps the same
+changes, and checkpoints contain them, so a watch can be resumed at another
+instance or after a restart without missing a change.
 """
 
 import collections
@@ -12,23 +12,26 @@
 from .. import errors
 from . import specs
 
-# At 2,100 changes a day this reaches back half a day, as long as the
-# changes are small; the bytes bound what a folder of 1,600 organisations,
-# applied again and again, costs each of 530 nodes.
-KEPT_CHANGES = 1024
-KEPT_BYTES = 2 * 1024 * 1024
+# At 2,100 changes per day the history covers half a day if the changes are
+# small.  The bound in bytes limits the memory use at each of 530 instances
+# if a folder with 1,600 organisations is applied repeatedly.
+MAX_HISTORY_CHANGES = 1024
+MAX_HISTORY_BYTES = 2 * 1024 * 1024
 
 
 class HistoryGone(errors.DandeliontrailError):
-    """A version was asked for that is no longer held."""
+    """The requested version is older than the retained changes."""
 
 
-# Stands for the spec of an object that is not there.
+# Replaces the spec of an object that does not exist.
 ABSENT = b"null"
 
 
 class Step(msgspec.Struct):
-    """What a change did to one object, or ``ABSENT``."""
+    """The effect of a change on one object.
+
+    ``before`` and ``after`` have the spec as JSON, or ``ABSENT``.
+    """
 
     kind: specs.Kind
     name: str
@@ -36,7 +39,7 @@
     after: msgspec.Raw
 
     def size(self):
-        """Return about how many bytes the step costs."""
+        """Return the approximate memory use of the step in bytes."""
         return 64 + len(bytes(self.before)) + len(bytes(self.after))
 
 
@@ -49,12 +52,12 @@
     steps: list[Step]
 
     def size(self):
-        """Return about how many bytes the item costs."""
+        """Return the approximate memory use of the item in bytes."""
         return 128 + sum(step.size() for step in self.steps)
 
 
 class History:
-    """Accepted changes after ``floor``, oldest first."""
+    """The accepted changes after version ``floor``, oldest first."""
 
     __slots__ = ("floor", "items", "_bytes")
 
@@ -64,11 +67,11 @@
         self._bytes = sum(item.size() for item in self.items)
 
     def add(self, item):
-        """Take in the newest change; drop the oldest beyond the bounds."""
+        """Append the newest change; remove the oldest above the bounds."""
         self.items.append(item)
         self._bytes += item.size()
-        while len(self.items) > KEPT_CHANGES or (
-            self._bytes > KEPT_BYTES and len(self.items) > 1
+        while len(self.items) > MAX_HISTORY_CHANGES or (
+            self._bytes > MAX_HISTORY_BYTES and len(self.items) > 1
         ):
             dropped = self.items.popleft()
             self._bytes -= dropped.size()
@@ -77,30 +80,33 @@
     def since(self, version):
         """Return the changes after ``version``, oldest first.
 
-        Raises :class:`HistoryGone` where some of them are not held.
+        Raises :class:`HistoryGone` if some of them have been removed.
         """
         if version < self.floor:
             raise HistoryGone(
-                f"Version {version} is older than the changes held, which"
+                f"Version {version} is older than the retained changes, which"
                 f" begin after {self.floor}.",
                 "list the objects again and go on from the version of the"
                 " listing",
             )
-        found = []
+        changes = []
         for item in reversed(self.items):
             if item.version <= version:
                 break
-            found.append(item)
-        found.reverse()
-        return found
+            changes.append(item)
+        changes.reverse()
+        return changes
 
     def specs_at(self, version):
-        """Return what has changed since ``version``, as it was then.
+        """Return the specs at ``version`` of all objects changed since.
 
-        The map goes from kind and name to the bytes of the spec.
+        The result maps kind and name to the JSON of the spec or ``ABSENT``.
+        Raises :class:`HistoryGone` as :meth:`since` does.
         """
-        found = {}
+        earlier_specs = {}
         for item in self.since(version):
             for step in item.steps:
-                found.setdefault((step.kind, step.name), bytes(step.before))
-        return found
+                earlier_specs.setdefault(
+                    (step.kind, step.name), bytes(step.before)
+                )
+        return earlier_specs
--- a/packages/dandeliontrail/src/dandeliontrail/resources/references.py
+++ b/packages/dandeliontrail/src/dandeliontrail/resources/references.py
@@ -1,8 +1,8 @@
-"""Which objects name which, kept up to date with each change.
+"""Index of the references between objects, updated with each change.
 
-A change is checked against what it touches only: with 1,600 organisations,
-walking all of them for each of 100,000 changes would make a restart take
-minutes.
+It allows validating a change against only the objects that it affects: with
+1,600 organisations, scanning all of them for each of 100,000 changes would
+make a restart take minutes.
 """
 
 import math
@@ -13,8 +13,8 @@
 Kind = specs.Kind
 
 
-def links(resource):
-    """Return ``(kind, name, field)`` of all objects that a spec names."""
+def references_of(resource):
+    """Return ``(kind, name, field)`` of each reference in a spec."""
     spec = resource.spec
     if resource.kind is Kind.REQUEST_CLASSES:
         return [(Kind.BACKEND_POOLS, name, "pools") for name in spec.pools]
@@ -22,21 +22,26 @@
         return [(Kind.BACKEND_POOLS, spec.pool, "pool")]
     if resource.kind is not Kind.ORGANISATIONS:
         return []
-    found = [(Kind.REQUEST_CLASSES, name, "classes") for name in spec.classes]
+    references = [
+        (Kind.REQUEST_CLASSES, name, "classes") for name in spec.classes
+    ]
     if spec.default_class:
-        found.append(
+        references.append(
             (Kind.REQUEST_CLASSES, spec.default_class, "default_class")
         )
-    return found
+    return references
 
 
-def _invalid(resource, field, message, remedy):
+def _invalid_field(resource, field, message, remedy):
     place = f"{resource.kind.value}/{resource.name}.spec.{field}"
     return errors.ResourceInvalid(place, message, remedy)
 
 
 class References:
-    """Users of each object, and owners of each key."""
+    """The objects that refer to each object, and the owner of each key.
+
+    ``owners`` maps the hash of a key to the name of its organisation.
+    """
 
     __slots__ = ("_users", "owners")
 
@@ -45,8 +50,8 @@
         self.owners = {}
 
     def remove(self, resource):
-        """Forget what an object names."""
-        for kind, name, _ in links(resource):
+        """Remove the references and keys of an object from the index."""
+        for kind, name, _ in references_of(resource):
             users = self._users.get((kind, name))
             if users:
                 users.discard((resource.kind.value, resource.name))
@@ -57,18 +62,22 @@
                 del self.owners[key]
 
     def add(self, resource):
-        """Take in what an object names."""
+        """Add the references and keys of an object to the index."""
         user = (resource.kind.value, resource.name)
-        for kind, name, _ in links(resource):
+        for kind, name, _ in references_of(resource):
             self._users.setdefault((kind, name), set()).add(user)
         for key in _keys(resource):
             self.owners.setdefault(key, resource.name)
 
     def check_present(self, resource, objects):
-        """Check what one changed object names."""
-        for kind, name, field in links(resource):
+        """Check the references and keys of a changed object.
+
+        Raises ``ResourceInvalid`` if an object that it refers to does not
+        exist or if another organisation owns one of its keys.
+        """
+        for kind, name, field in references_of(resource):
             if name not in objects[kind]:
-                raise _invalid(
+                raise _invalid_field(
                     resource,
                     field,
                     f"there is no {kind.value}/{name}.",
@@ -77,7 +86,7 @@
         for key in _keys(resource):
             owner = self.owners.get(key, resource.name)
             if owner != resource.name:
-                raise _invalid(
+                raise _invalid_field(
                     resource,
                     "keys",
                     f"a key belongs to organisation {owner!r} already.",
@@ -85,7 +94,10 @@
                 )
 
     def check_absent(self, kind, name):
-        """Check that nothing names an object that was deleted."""
+        """Check that no object refers to a deleted one.
+
+        Raises ``ResourceInvalid`` if one does.
+        """
         users = self._users.get((kind, name))
         if not users:
             return
@@ -98,11 +110,12 @@
 
 
 def check_shares(classes):
-    """Check that the guaranteed shares leave something over.
+    """Check that the guaranteed shares add up to less than 1.
 
-    ``fsum`` gives the same sum in any order: the order of a dict differs
-    between an instance that replayed the log and one that loaded a
-    checkpoint, and both must accept the same changes.
+    Raises ``ResourceInvalid`` if they don't.  ``fsum`` returns the same sum
+    for any order of the summands: the order of the dict differs between an
+    instance that replayed the log and one that loaded a checkpoint, and both
+    must accept the same changes.
     """
     shares = math.fsum(item.spec.minimum_share for item in classes.values())
     if shares >= 1:
--- a/packages/dandeliontrail/src/dandeliontrail/resources/revisions.py
+++ b/packages/dandeliontrail/src/dandeliontrail/resources/revisions.py
@@ -1,10 +1,10 @@
-"""A whole routing configuration, as one revision.
+"""Revisions: complete routing configurations.
 
-An operator who keeps the configuration elsewhere sends all of it at once,
-under a number of its own choosing.  The highest number is in force.  A
-revision takes effect as a whole or not at all, so no caller is ever routed
-by half of one.  ``document`` is what was sent, byte for byte, for whoever
-reads it back.
+An operator who manages the configuration elsewhere sends all of it at once,
+with a revision number that the operator chooses.  The revision with the
+highest number is in force.  A revision takes effect atomically, so no
+request is ever routed by only a part of one.  ``document`` is what was sent,
+byte for byte, and is returned when the configuration is read back.
 """
 
 import msgspec
@@ -13,22 +13,22 @@
 
 
 class Split(msgspec.Struct):
-    """One service among which a route divides its requests, by weight."""
+    """A service that gets a share of a route's requests, by weight."""
 
     service: str
     weight: int = 1
 
 
 class Route(msgspec.Struct):
-    """Which requests go where, and what holds for them.
-
-    ``timeout``, ``target`` and ``longest_pause`` are in seconds: how long a
-    caller may be kept waiting, until when the answer (of a stream, its first
-    event) is of full worth, and the longest pause between two events of a
-    stream for which it still is.  ``priority`` 0 is the highest.  A request
-    may be sent to ``max_attempts`` backend servers.  ``repeatable`` tells
-    that it may run more than once, ``resumable`` that a stream may go on at
-    another server after the last event that came.
+    """Where requests for a host and path prefix go, and how.
+
+    Times are in seconds.  ``timeout`` is how long a caller may be kept
+    waiting.  The answer has its full value if it arrives within ``target``
+    (for a stream, its first event) and if no pause between two events of a
+    stream exceeds ``longest_pause``.  ``priority`` 0 is the highest.  A
+    request may be sent to up to ``max_attempts`` backend servers.
+    ``repeatable`` means that it may run more than once, ``resumable`` that a
+    stream may be continued at another server after the last event received.
     """
 
     name: str
@@ -47,7 +47,7 @@
 
 
 class Engine(msgspec.Struct):
-    """What is known of the model engines of a service."""
+    """The declared capacity of the model engines of a service."""
 
     slots: int = 0
     kv_tokens: int = 0
@@ -55,11 +55,12 @@
 
 
 class Scaling(msgspec.Struct):
-    """Servers of a service that can be ordered, by failure domain.
+    """Limits for ordering servers of a service, per failure domain.
 
-    ``fewest`` and ``most`` bound those of both kinds together in a domain.
-    A new server serves ``boot_seconds`` after its order; a spot server costs
-    ``spot_price`` of a regular one and may be taken away at any time.
+    ``fewest`` and ``most`` bound the number of regular and spot servers
+    together.  A new server is ready ``boot_seconds`` after its order.  A
+    spot server costs ``spot_price`` times as much as a regular one and may
+    be withdrawn at any time.
     """
 
     fewest: int
@@ -69,9 +70,9 @@
 
 
 class Service(msgspec.Struct):
-    """One service; ``max_connections`` is over all instances.
+    """One service; ``max_connections`` is the limit over all instances.
 
-    Without ``scaling`` the number of its servers is not ours to choose.
+    Without ``scaling`` no servers are ordered for it.
     """
 
     name: str
@@ -81,7 +82,7 @@
 
 
 class Organisation(msgspec.Struct):
-    """Who may send requests, by the hashes of its keys."""
+    """An organisation that may send requests, with the hashes of its keys."""
 
     name: str
     keys: list[str] = []
@@ -89,7 +90,7 @@
 
 
 class CallerLimits(msgspec.Struct):
-    """What a caller may cost, in bytes and seconds; 0 is no limit."""
+    """Limits on a caller's request, in bytes and seconds; 0 is no limit."""
 
     header_bytes: int = 0
     body_bytes: int = 0
@@ -98,7 +99,7 @@
 
 
 class Revision(msgspec.Struct, tag="revision"):
-    """All routes, services and organisations under one number."""
+    """All routes, services and organisations of one revision number."""
 
     number: int
     document: str
@@ -109,46 +110,47 @@
 
 
 def check(revision):
-    """Raise ``ResourceInvalid`` unless the revision makes sense."""
+    """Raise ``ResourceInvalid`` unless the revision is consistent."""
     services = {item.name for item in revision.services}
-    places = set()
+    addresses = set()
     for route in revision.routes:
         _check_route(route, services)
-        place = (route.host, route.path_prefix)
+        address = (route.host, route.path_prefix)
         _require(
-            place not in places,
+            address not in addresses,
             f"routes.{route.name}",
-            f"another route has host {route.host} and {route.path_prefix}",
-            "give each route a place of its own",
+            f"another route has host {route.host} and path prefix"
+            f" {route.path_prefix}",
+            "give each route a different host or path prefix",
         )
-        places.add(place)
+        addresses.add(address)
     _check_keys(revision.organisations)
 
 
 def _check_route(route, services):
-    where = f"routes.{route.name}"
-    for part in route.split:
+    field = f"routes.{route.name}"
+    for share in route.split:
         _require(
-            part.service in services,
-            where,
-            f"service {part.service!r} is not declared",
-            "declare it or name another",
+            share.service in services,
+            field,
+            f"service {share.service!r} is not declared",
+            "declare the service or name another one",
         )
         _require(
-            part.weight >= 0,
-            where,
-            f"weight {part.weight} is below 0",
+            share.weight >= 0,
+            field,
+            f"weight {share.weight} is below 0",
             "give weights of 0 and above",
         )
     _require(
-        sum(part.weight for part in route.split) > 0,
-        where,
+        sum(share.weight for share in route.split) > 0,
+        field,
         "the weights add up to 0",
         "give at least one service a weight above 0",
     )
     _require(
         route.timeout > 0,
-        where,
+        field,
         f"the timeout is {route.timeout:g} s",
         "give a timeout above 0",
     )
@@ -167,6 +169,6 @@
             )
 
 
-def _require(holds, field, message, remedy):
-    if not holds:
+def _require(condition, field, message, remedy):
+    if not condition:
         raise errors.ResourceInvalid(field, f"{message}.", remedy)
--- a/packages/dandeliontrail/src/dandeliontrail/resources/specs.py
+++ b/packages/dandeliontrail/src/dandeliontrail/resources/specs.py
@@ -1,7 +1,7 @@
-"""The declared part of each kind of object.
+"""Schemas of the specs of all kinds of objects.
 
-Field names are those of the resource API.  Unknown fields are refused, so
-that a mistyped limit is an error and not a limit that is never applied.
+Field names are those of the resource API.  Unknown fields are rejected, so
+that a misspelt limit is an error and not a limit that is never applied.
 """
 
 import enum
@@ -19,7 +19,7 @@
 
 
 class Limits(msgspec.Struct, forbid_unknown_fields=True):
-    """Rates and a daily quota; ``None`` leaves a dimension unlimited."""
+    """Rate limits and a daily quota; ``None`` means unlimited."""
 
     requests_per_second: float | None = None
     tokens_per_second: float | None = None
@@ -27,10 +27,10 @@
 
 
 class OrganisationSpec(msgspec.Struct, forbid_unknown_fields=True):
-    """A team that is charged for what it uses.
+    """A team that is charged for its usage.
 
-    ``keys`` holds hashes only (``sha256:HEX``).  ``weight`` is its share
-    beside other organisations of the same class.
+    ``keys`` has hashes of API keys only (``sha256:HEX``).  ``weight`` is its
+    weight in fair sharing with other organisations of the same class.
     """
 
     keys: list[str] = []
@@ -51,9 +51,9 @@
 class RequestClassSpec(msgspec.Struct, forbid_unknown_fields=True):
     """How the requests of one class are treated.
 
-    ``priority`` zero is the highest.  ``minimum_share`` is the part of the
-    capacity, between 0 and 1, that the class gets however much is asked of
-    the classes above it.
+    ``priority`` 0 is the highest.  ``minimum_share`` is the fraction of the
+    capacity, from 0 to below 1, that is guaranteed to the class whatever the
+    load of the classes with a higher priority.
     """
 
     priority: int = 1
@@ -66,7 +66,7 @@
 
 
 class Select(msgspec.Struct, forbid_unknown_fields=True):
-    """Which announcements belong to a pool; all that is given must match."""
+    """The backend servers of a pool; all non-empty fields must match."""
 
     kind: str = ""
     model: str = ""
@@ -76,14 +76,18 @@
 
 
 class BackendPoolSpec(msgspec.Struct, forbid_unknown_fields=True):
-    """A named set of backend servers; ``checks_fencing`` wins over theirs."""
+    """A named set of backend servers.
+
+    ``checks_fencing`` overrides the value that its servers announce, unless
+    it is ``None``.
+    """
 
     select: Select = msgspec.field(default_factory=Select)
     checks_fencing: bool | None = None
 
 
 class ModelPlacementSpec(msgspec.Struct, forbid_unknown_fields=True):
-    """Which copies of a model are wanted in each failure domain."""
+    """How many copies of a model to run in each failure domain."""
 
     model: str = ""
     version: str = ""
--- a/packages/dandeliontrail/src/dandeliontrail/resources/store.py
+++ b/packages/dandeliontrail/src/dandeliontrail/resources/store.py
@@ -1,7 +1,7 @@
 """The declared objects at one version of the log.
 
-``ResourceStore`` is a pure state machine: the same changes in the same
-order give the same objects and the same results on every instance.
+``ResourceStore`` is a deterministic state machine: the same changes in the
+same order produce the same objects and results on every instance.
 """
 
 import typing
@@ -18,7 +18,7 @@
 
 
 class Resource(msgspec.Struct):
-    """One object: ``version`` is the log position of its last change."""
+    """A declared object; ``version`` is the log position of its last change."""
 
     kind: specs.Kind
     name: str
@@ -27,7 +27,7 @@
 
 
 class StoredObject(msgspec.Struct):
-    """One object, as checkpoints carry it."""
+    """The format of an object in a checkpoint."""
 
     kind: specs.Kind
     name: str
@@ -36,7 +36,7 @@
 
 
 class StoredState(msgspec.Struct):
-    """All objects and recent changes, as checkpoints carry them."""
+    """The format of all objects and recent changes in a checkpoint."""
 
     version: int
     objects: list[StoredObject]
@@ -45,7 +45,7 @@
 
 
 class ResourceStore:
-    """All objects, the version they stand at, and recent changes."""
+    """All declared objects, their version, and the recent changes."""
 
     __slots__ = ("version", "objects", "history", "_references")
 
@@ -56,11 +56,11 @@
         self._references = references.References()
 
     def get(self, kind, name):
-        """Return the object, or ``None`` where there is none."""
+        """Return an object, or ``None`` if it does not exist."""
         return self.objects[kind].get(name)
 
     def spec(self, kind, name):
-        """Return the spec of an object, or ``None``."""
+        """Return the spec of an object, or ``None`` if it does not exist."""
         resource = self.objects[kind].get(name)
         return resource.spec if resource else None
 
@@ -89,7 +89,7 @@
         return changes.Result(changes.ResultKind.ACCEPTED, version)
 
     def check(self, change):
-        """Return the result that ``change`` would have now."""
+        """Return the result that ``change`` would have at this version."""
         staged = self._stage(self.version, change)
         if isinstance(staged, changes.Result):
             return staged
@@ -97,16 +97,22 @@
         return changes.Result(changes.ResultKind.ACCEPTED, self.version)
 
     def _stage(self, version, change):
-        """Make the change in place; return it, or why it was undone."""
-        staged = _Staged(self.objects, self._references)
+        """Make the change in place.
+
+        Returns the :class:`_StagedChange`, or if the change is invalid, its
+        result after undoing it.
+        """
+        staged = _StagedChange(self.objects, self._references)
         try:
             staged.run(version, change)
         except errors.VersionConflict as exc:
-            failed = _result(changes.ResultKind.CONFLICT, exc, exc.present)
+            failed = _failed_result(
+                changes.ResultKind.CONFLICT, exc, exc.present
+            )
         except checks.NoSuchObject as exc:
-            failed = _result(changes.ResultKind.NOT_FOUND, exc)
+            failed = _failed_result(changes.ResultKind.NOT_FOUND, exc)
         except errors.ResourceInvalid as exc:
-            failed = _result(
+            failed = _failed_result(
                 changes.ResultKind.INVALID, exc, 0, field=exc.field
             )
         else:
@@ -115,21 +121,25 @@
         return failed
 
     def rollback(self, version):
-        """Return the operations that bring all back to ``version``.
+        """Return the operations that restore the objects of ``version``.
 
-        Each names the present version of its object, so that what others
-        change meanwhile is not overwritten.  Raises
-        :class:`.history.HistoryGone` for a version no longer held.
+        Each is conditional on the current version of its object, so that
+        concurrent changes are not overwritten.  Raises
+        :class:`.history.HistoryGone` if the history does not reach back that
+        far.
         """
         operations = []
         for (kind, name), spec in self.history.specs_at(version).items():
-            held = self.get(kind, name)
-            present = held.version if held else 0
-            if spec == _encoded(held):
+            resource = self.get(kind, name)
+            current_version = resource.version if resource else 0
+            if spec == _encoded_spec(resource):
                 continue
             if spec == history_module.ABSENT:
                 operation = changes.Operation(
-                    changes.Verb.DELETE, kind.value, name, if_match=present
+                    changes.Verb.DELETE,
+                    kind.value,
+                    name,
+                    if_match=current_version,
                 )
             else:
                 operation = changes.Operation(
@@ -137,7 +147,7 @@
                     kind.value,
                     name,
                     msgspec.Raw(spec),
-                    present,
+                    current_version,
                 )
             operations.append(operation)
         return operations
@@ -146,21 +156,24 @@
         """Return all objects as a :class:`StoredState`."""
         objects = [
             StoredObject(
-                kind, name, held.version, msgspec.Raw(encode_spec(held.spec))
+                kind,
+                name,
+                resource.version,
+                msgspec.Raw(encode_spec(resource.spec)),
             )
-            for kind, named in self.objects.items()
-            for name, held in named.items()
+            for kind, by_name in self.objects.items()
+            for name, resource in by_name.items()
         ]
         return StoredState(
             self.version, objects, self.history.floor, list(self.history.items)
         )
 
     def load(self, state):
-        """Take over the JSON of a :class:`StoredState`."""
-        found = msgspec.json.decode(state, type=StoredState)
+        """Replace the contents by those of a :class:`StoredState` in JSON."""
+        stored = msgspec.json.decode(state, type=StoredState)
         objects = {kind: {} for kind in specs.Kind}
         index = references.References()
-        for item in found.objects:
+        for item in stored.objects:
             spec = msgspec.json.decode(
                 item.spec, type=specs.SPEC_TYPES[item.kind]
             )
@@ -169,12 +182,16 @@
             index.add(resource)
         self.objects = objects
         self._references = index
-        self.version = found.version
-        self.history = history_module.History(found.floor, found.items)
+        self.version = stored.version
+        self.history = history_module.History(stored.floor, stored.items)
+
 
+class _StagedChange:
+    """A change made in place that can be undone as a whole.
 
-class _Staged:
-    """One change made in place, so that it can be undone as a whole."""
+    ``_before`` has the previous state of each changed object, and
+    ``_indexed`` tells whether the references have been updated.
+    """
 
     __slots__ = ("_objects", "_references", "_before", "_indexed")
 
@@ -185,33 +202,38 @@
         self._indexed = False
 
     def run(self, version, change):
-        """Make the change; raises where it must not take effect."""
+        """Make the change.
+
+        Raises ``VersionConflict``, ``NoSuchObject`` or ``ResourceInvalid``
+        if it must not take effect; the caller must undo it then.
+        """
         for operation in change.operations:
-            self._operate(version, operation)
-        self._reindex(self._before.items(), self._after())
+            self._apply_operation(version, operation)
+        self._reindex(self._before.items(), self._current())
         self._indexed = True
         self._check()
 
-    def _operate(self, version, operation):
+    def _apply_operation(self, version, operation):
         kind = checks.kind_of(operation.kind)
-        named = self._objects[kind]
-        held = named.get(operation.name)
-        _check_version(operation, held)
+        by_name = self._objects[kind]
+        resource = by_name.get(operation.name)
+        _check_version(operation, resource)
         if operation.verb is changes.Verb.DELETE:
-            checks.present(held, operation)
-            self._before.setdefault((kind, operation.name), held)
-            del named[operation.name]
+            checks.require_present(resource, operation)
+            self._before.setdefault((kind, operation.name), resource)
+            del by_name[operation.name]
             return
-        spec = checks.decode(kind, operation)
-        # Writing what is there already changes nothing, so that applying a
-        # folder again disturbs nobody.  A conditional write does count:
-        # of two against one version only one may win.
-        if operation.if_match is None and held and held.spec == spec:
+        spec = checks.decode_spec(kind, operation)
+        # Writing an identical spec leaves the version as it is, so that
+        # applying a folder again has no effect on others.  A conditional
+        # write does change the version: of two writes with the same
+        # ``if_match`` only one may succeed.
+        if operation.if_match is None and resource and resource.spec == spec:
             return
-        self._before.setdefault((kind, operation.name), held)
-        named[operation.name] = Resource(kind, operation.name, version, spec)
+        self._before.setdefault((kind, operation.name), resource)
+        by_name[operation.name] = Resource(kind, operation.name, version, spec)
 
-    def _after(self):
+    def _current(self):
         return [
             (key, self._objects[key[0]].get(key[1])) for key in self._before
         ]
@@ -226,7 +248,7 @@
 
     def _check(self):
         kinds = set()
-        for (kind, name), resource in self._after():
+        for (kind, name), resource in self._current():
             kinds.add(kind)
             if resource:
                 self._references.check_present(resource, self._objects)
@@ -236,8 +258,8 @@
             references.check_shares(self._objects[specs.Kind.REQUEST_CLASSES])
 
     def undo(self):
-        """Put everything back as it was."""
-        after = self._after()
+        """Restore the objects and references from before the change."""
+        after = self._current()
         for (kind, name), resource in self._before.items():
             if resource:
                 self._objects[kind][name] = resource
@@ -247,40 +269,40 @@
             self._reindex(after, self._before.items())
 
     def steps(self):
-        """Return what the change did, for the history."""
+        """Return the effects of the change, for the history."""
         return [
             history_module.Step(
                 kind,
                 name,
-                msgspec.Raw(_encoded(before)),
-                msgspec.Raw(_encoded(after)),
+                msgspec.Raw(_encoded_spec(before)),
+                msgspec.Raw(_encoded_spec(after)),
             )
             for ((kind, name), before), (_, after) in zip(
-                self._before.items(), self._after()
+                self._before.items(), self._current()
             )
             if before is not after
         ]
 
 
-def _encoded(resource):
-    """Return the bytes of a spec, or those that stand for none."""
+def _encoded_spec(resource):
+    """Return the JSON of an object's spec, or ``ABSENT`` for ``None``."""
     if resource is None:
         return history_module.ABSENT
     return encode_spec(resource.spec)
 
 
-def _check_version(operation, held):
+def _check_version(operation, resource):
     if operation.if_match is None:
         return
-    present = held.version if held else 0
-    if operation.if_match != present:
-        raise errors.VersionConflict(present)
+    current_version = resource.version if resource else 0
+    if operation.if_match != current_version:
+        raise errors.VersionConflict(current_version)
 
 
-def _result(kind, exc, version=0, field=""):
+def _failed_result(kind, exc, version=0, field=""):
     return changes.Result(kind, version, field, exc.message, exc.remedy)
 
 
 def encode_spec(spec):
-    """Return the JSON of a spec, as logs and snapshots carry it."""
+    """Return the JSON of a spec, as stored in logs and snapshots."""
     return msgspec.json.encode(spec)
