--- a/packages/dandeliontrail/src/dandeliontrail/resources/announcement_checks.py
+++ b/packages/dandeliontrail/src/dandeliontrail/resources/announcement_checks.py
@@ -54,7 +54,8 @@
             and (value or not required),
             field,
             value,
-            f"{'1' if required else '0'} to {MAX_TEXT_LENGTH} printable characters",
+            f"{'1' if required else '0'} to {MAX_TEXT_LENGTH} printable"
+            " characters",
         )
 
 
--- a/packages/dandeliontrail/src/dandeliontrail/resources/store.py
+++ b/packages/dandeliontrail/src/dandeliontrail/resources/store.py
@@ -18,7 +18,7 @@
 
 
 class Resource(msgspec.Struct):
-    """A declared object; ``version`` is the log position of its last change."""
+    """A declared object; ``version`` is the log position of its change."""
 
     kind: specs.Kind
     name: str
--- a/tests/common/crash_news.py
+++ b/tests/common/crash_news.py
@@ -1,4 +1,4 @@
-"""Instances without sockets that tell one another of ended servers."""
+"""A simulated network of instances that share which servers ended."""
 
 import types
 
@@ -8,7 +8,7 @@
 
 
 class CrashNews:
-    """``count`` instances in three failure domains that know one another."""
+    """``count`` instances in three failure domains, all discovered."""
 
     def __init__(self, count, seed=1, **options):
         self.net = pure_nodes.Network(seed, **options)
@@ -21,33 +21,34 @@
                 node.state.members.learn(record, 0.0)
         self.net.run(3.0)
 
-    def ends_of(self, node):
-        """Return the component of a node."""
-        (found,) = [
+    def component_of(self, node):
+        """Return the ``ServerEnds`` component of an instance."""
+        (component,) = [
             item
             for item in node.reducer.components
             if isinstance(item, server_ends.ServerEnds)
         ]
-        return found
+        return component
 
     def ended(self, node, fingerprint, server):
-        """Let ``server`` end under a request that ``node`` has sent there."""
-        life = types.SimpleNamespace(
+        """Let ``server`` end while it runs a request sent by ``node``."""
+        request = types.SimpleNamespace(
             work=types.SimpleNamespace(fingerprint=fingerprint),
             incarnation=(server, 0),
             output_at=0.0,
         )
         event = events.AttemptFailed("r", 1, 0, "", closed=True)
-        self.ends_of(node).ended_under(life, event, self.net.now)
+        self.component_of(node).ended_under(request, event, self.net.now)
 
     def served(self, node, fingerprint):
-        """Let some server serve a request of ``node`` to the end."""
-        self.ends_of(node).served(fingerprint, self.net.now)
+        """Let a server complete a request of ``node``."""
+        self.component_of(node).served(fingerprint, self.net.now)
 
-    def holders(self, fingerprint):
-        """Return the names of the nodes that hold a request back."""
+    def blocking_instances(self, fingerprint):
+        """Return the names of the instances that block a request."""
         return {
             node.name
             for node in self.net.nodes.values()
-            if node.up and self.ends_of(node).holds(fingerprint, self.net.now)
+            if node.up
+            and self.component_of(node).holds(fingerprint, self.net.now)
         }
--- a/tests/common/usage_nodes.py
+++ b/tests/common/usage_nodes.py
@@ -1,4 +1,4 @@
-"""Nine pure nodes that count usage, for tests of the ledger."""
+"""A simulated network of nine instances, for tests of the usage ledger."""
 
 from dandeliontrail.coordination import usage
 from dandeliontrail import events
@@ -7,52 +7,66 @@
 DAY = "2026-03-14"
 
 
-def totals(count):
-    return usage.Totals(1, 10 * count, count, count // 2)
+def request_totals(output_tokens):
+    return usage.Totals(
+        1, 10 * output_tokens, output_tokens, output_tokens // 2
+    )
 
 
-def nine(**options):
-    made = pure_nodes.Network(**options)
+def nine_instances(**options):
+    network = pure_nodes.Network(**options)
     for index in range(9):
-        node = made.add(f"i{index}", f"fd{index // 3}")
-        made.apply(node, events.DayBegan(DAY))
-    made.run(5.0)
-    return made
+        node = network.add(f"i{index}", f"fd{index // 3}")
+        network.apply(node, events.DayBegan(DAY))
+    network.run(5.0)
+    return network
 
 
-def used(made, name):
-    return made.nodes[name].state.usage.used_by("lab").requests
+def requests_used(network, name):
+    return network.nodes[name].state.usage.used_by("lab").requests
 
 
-def start(made, name, domain, incarnation):
-    """Start a node with a chosen incarnation."""
-    node = made.add(name, domain)
+def start_instance(network, name, domain, incarnation):
+    """Start an instance with a given incarnation."""
+    node = network.add(name, domain)
     node.state.identity.incarnation = incarnation
     node.state.usage.rename_own(incarnation)
     node.state.members.note_own()
-    made.apply(node, events.DayBegan(DAY))
+    network.apply(node, events.DayBegan(DAY))
     return node
 
 
-def restart(made, name, incarnation):
-    """Stop a node and start it again, with nothing but its name."""
-    made.nodes[name].up = False
-    made.run(0.5)
-    return start(made, name, made.nodes[name].domain, incarnation)
+def restart_instance(network, name, incarnation):
+    """Stop an instance and start it again without any of its state."""
+    network.nodes[name].up = False
+    network.run(0.5)
+    return start_instance(
+        network, name, network.nodes[name].domain, incarnation
+    )
 
 
 def check_restarts(restarts):
-    """Restart instances in turn; nothing is lost and one publisher left."""
-    made = nine()
-    made.run(60.0)
+    """Restart instances in turn.
+
+    Checks that no count is lost and that at most one publisher per instance
+    is left afterwards.
+    """
+    network = nine_instances()
+    network.run(60.0)
     for count in range(restarts):
         name = f"i{count % 9}"
-        made.nodes[name].state.usage.count("lab", "lookup", totals(1))
-        made.run(1.2)
-        restart(made, name, 1 << 41 | count)
-    made.run(80.0)
-    assert [used(made, name) for name in made.nodes] == [restarts] * 9
-    for node in made.nodes.values():
-        held = node.state.usage
-        assert held.late == 0
-        assert all(len(held.publishers_of(name)) <= 1 for name in made.nodes)
+        network.nodes[name].state.usage.count(
+            "lab", "lookup", request_totals(1)
+        )
+        network.run(1.2)
+        restart_instance(network, name, 1 << 41 | count)
+    network.run(80.0)
+    assert [requests_used(network, name) for name in network.nodes] == [
+        restarts
+    ] * 9
+    for node in network.nodes.values():
+        ledger = node.state.usage
+        assert ledger.late == 0
+        assert all(
+            len(ledger.publishers_of(name)) <= 1 for name in network.nodes
+        )
--- a/tests/cover/test_crash_news.py
+++ b/tests/cover/test_crash_news.py
@@ -1,83 +1,83 @@
-"""How instances come to hold back the same requests."""
+"""All instances block the same requests after crashes of servers."""
 
 import pytest
 
 from tests.common import crash_news
 
-# Requests sent by an instance that has been in touch for so long must be held.
-IN_TOUCH_SECONDS = 3.0
+# An instance that has been connected for so long must block the requests.
+PROPAGATION_SECONDS = 3.0
 
 
-def end_three(news, nodes, fingerprint="p"):
-    """Let three servers end, each under a request of another node."""
+def end_three_servers(news, nodes, fingerprint="p"):
+    """Let a server end at each of three instances, under the same request."""
     for number, node in enumerate(nodes):
         news.ended(node, fingerprint, f"s{number}")
 
 
 @pytest.mark.parametrize("count", (12, 40))
-def test_all_hold_back_what_ended_servers_at_three_of_them(count):
+def test_all_block_a_request_that_ended_servers_at_three_instances(count):
     news = crash_news.CrashNews(count)
-    end_three(news, news.nodes[3:6])
+    end_three_servers(news, news.nodes[3:6])
     news.net.run(1.0)
-    assert len(news.holders("p")) == count
+    assert len(news.blocking_instances("p")) == count
 
 
 @pytest.mark.parametrize("count", (12, 40))
-def test_news_that_is_lost_is_made_good(count):
+def test_lost_messages_are_repaired(count):
     news = crash_news.CrashNews(count, loss=0.5)
-    end_three(news, news.nodes[3:6])
-    news.net.run(IN_TOUCH_SECONDS)
+    end_three_servers(news, news.nodes[3:6])
+    news.net.run(PROPAGATION_SECONDS)
     news.net.loss = 0.0
-    news.net.run(IN_TOUCH_SECONDS)
-    assert len(news.holders("p")) == count
+    news.net.run(PROPAGATION_SECONDS)
+    assert len(news.blocking_instances("p")) == count
 
 
 @pytest.mark.parametrize("count", (12, 40))
-def test_a_domain_that_was_cut_off_learns_it_once_it_is_back(count):
+def test_partitioned_domain_blocks_the_request_after_it_is_back(count):
     news = crash_news.CrashNews(count)
     inside = [node.name for node in news.nodes if node.domain == "fd0"]
     outside = [node.name for node in news.nodes if node.domain != "fd0"]
     news.net.separate(inside, outside)
-    end_three(news, [news.net.nodes[name] for name in outside[:3]])
+    end_three_servers(news, [news.net.nodes[name] for name in outside[:3]])
     news.net.run(5.0)
-    assert news.holders("p") == set(outside)
+    assert news.blocking_instances("p") == set(outside)
     news.net.heal()
-    news.net.run(IN_TOUCH_SECONDS)
-    assert len(news.holders("p")) == count
+    news.net.run(PROPAGATION_SECONDS)
+    assert len(news.blocking_instances("p")) == count
 
 
 @pytest.mark.parametrize("count", (12, 40))
-def test_an_instance_that_starts_again_learns_it(count):
+def test_restarted_instance_blocks_the_request(count):
     news = crash_news.CrashNews(count)
-    end_three(news, news.nodes[3:6])
+    end_three_servers(news, news.nodes[3:6])
     news.net.run(1.0)
-    again = news.net.add(
+    restarted = news.net.add(
         news.nodes[7].name, news.nodes[7].domain, seeds=["i000", "i001"]
     )
-    news.net.run(IN_TOUCH_SECONDS)
-    assert again.name in news.holders("p")
+    news.net.run(PROPAGATION_SECONDS)
+    assert restarted.name in news.blocking_instances("p")
 
 
-def test_one_instance_that_is_left_is_enough_to_know_it():
+def test_one_surviving_instance_informs_all_restarted_ones():
     news = crash_news.CrashNews(12)
-    end_three(news, news.nodes[3:6])
+    end_three_servers(news, news.nodes[3:6])
     news.net.run(1.0)
     for node in news.nodes[1:]:
         news.net.add(node.name, node.domain, seeds=["i000"])
-    news.net.run(IN_TOUCH_SECONDS)
-    assert len(news.holders("p")) == 12
+    news.net.run(PROPAGATION_SECONDS)
+    assert len(news.blocking_instances("p")) == 12
 
 
-def test_what_many_send_alike_is_not_held_back_in_a_loss_of_many_servers():
+def test_frequent_request_is_not_blocked_when_many_servers_are_lost():
     news = crash_news.CrashNews(12)
     news.served(news.nodes[0], "lookup")
     for number in range(1, 5):
         news.ended(news.nodes[number], "lookup", f"s{number}")
     news.net.run(1.0)
-    assert not news.holders("lookup")
+    assert not news.blocking_instances("lookup")
 
 
-def test_many_such_requests_at_once_are_all_held_back():
+def test_many_such_requests_at_once_are_all_blocked():
     news = crash_news.CrashNews(40)
     for number in range(50):
         for place in range(3):
@@ -85,4 +85,4 @@
             news.ended(node, f"p{number}", f"s{number}-{place}")
     news.net.run(2.0)
     for number in range(50):
-        assert len(news.holders(f"p{number}")) == 40
+        assert len(news.blocking_instances(f"p{number}")) == 40
--- a/tests/cover/test_partitions.py
+++ b/tests/cover/test_partitions.py
@@ -1,4 +1,7 @@
-"""Random partitions, losses, crashes and leaves over pure nodes."""
+"""Random partitions, message loss, restarts and server shutdowns.
+
+The instances run in a simulated network.
+"""
 
 from hypothesis import Phase
 from hypothesis import settings
@@ -11,54 +14,56 @@
 
 from tests.common import usage_nodes
 
-# A lease is a sum of floats.
-LIMIT = servers.LONGEST_LEASE + 1e-6
+# The tolerance is for rounding, since the end of a lease is a sum of floats.
+MAX_SILENCE_SECONDS = servers.LONGEST_LEASE + 1e-6
 NAMES = [f"i{index}" for index in range(6)]
 SERVERS = ["e0", "e1"]
 NAME = st.sampled_from(NAMES)
 SERVER = st.sampled_from(SERVERS)
 
 
-class Partitions(stateful.RuleBasedStateMachine):
-    """Six nodes in three failure domains, and two backend servers.
+class PartitionMachine(stateful.RuleBasedStateMachine):
+    """Six instances in three failure domains, and two backend servers.
 
-    ``spoken`` is when a server last spoke and ``left`` when it said that
-    it leaves in its present epoch, on the network's clock.
+    ``announced`` is when a server last announced itself and ``left`` when it
+    announced its shutdown in its current epoch, on the network's clock.
+    ``pending`` has the number of requests that each instance counted since
+    its start, and ``lost`` the sum of those that restarts may have lost.
     """
 
     @stateful.initialize(seed=st.integers(0, 1000))
     def begin(self, seed):
         self.net = pure_nodes.Network(seed)
         for index, name in enumerate(NAMES):
-            usage_nodes.start(self.net, name, f"fd{index // 2}", 1)
+            usage_nodes.start_instance(self.net, name, f"fd{index // 2}", 1)
         self.starts = 1
         self.epochs = dict.fromkeys(SERVERS, 1)
         self.sequence = 0
-        self.spoken = {}
+        self.announced = {}
         self.left = {}
         self.counted = 0
         self.lost = 0
         self.pending = dict.fromkeys(NAMES, 0)
-        self.wait(4.0)
+        self.run_and_check(4.0)
 
-    def wait(self, seconds):
-        self.net.run(seconds, self.check)
+    def run_and_check(self, seconds):
+        self.net.run(seconds, self.check_serving)
 
-    def check(self):
+    def check_serving(self):
         now = self.net.now
         for node in self.net.nodes.values():
             if not node.up:
                 continue
             for server in node.state.registry.serving(now):
-                said = server.announcement
-                name = said.backend_server
-                assert now - self.spoken[name] <= LIMIT
-                if name in self.left and said.epoch == self.epochs[name]:
-                    assert now - self.left[name] <= LIMIT
+                record = server.announcement
+                name = record.backend_server
+                assert now - self.announced[name] <= MAX_SILENCE_SECONDS
+                if name in self.left and record.epoch == self.epochs[name]:
+                    assert now - self.left[name] <= MAX_SILENCE_SECONDS
 
     @stateful.rule(seconds=st.sampled_from([0.3, 1.0, 5.0]))
     def time_passes(self, seconds):
-        self.wait(seconds)
+        self.run_and_check(seconds)
 
     @stateful.rule(one=NAME, other=NAME, both_ways=st.booleans())
     def path_is_cut(self, one, other, both_ways):
@@ -80,18 +85,18 @@
 
     @stateful.rule(name=NAME)
     def node_restarts(self, name):
-        # What it counted last may be lost with it, nothing else.
+        # Only what it counted itself since its start may be lost.
         self.starts += 1
         self.lost += self.pending[name]
         self.pending[name] = 0
-        usage_nodes.restart(self.net, name, self.starts)
-        self.wait(0.5)
+        usage_nodes.restart_instance(self.net, name, self.starts)
+        self.run_and_check(0.5)
 
     @stateful.rule(name=NAME, server=SERVER, leaving=st.booleans())
     def server_speaks(self, name, server, leaving):
         leaving = leaving or server in self.left
         self.sequence += 1
-        said = announcements.Announcement(
+        announcement = announcements.Announcement(
             server,
             self.epochs[server],
             self.sequence,
@@ -99,11 +104,11 @@
             f"http://{server}",
             leaving=leaving,
         )
-        self.spoken[server] = self.net.now
+        self.announced[server] = self.net.now
         if leaving:
             self.left.setdefault(server, self.net.now)
-        self.net.announce(self.net.nodes[name], said)
-        self.wait(0.1)
+        self.net.announce(self.net.nodes[name], announcement)
+        self.run_and_check(0.1)
 
     @stateful.rule(server=SERVER)
     def server_restarts(self, server):
@@ -113,7 +118,7 @@
     @stateful.rule(name=NAME)
     def node_counts(self, name):
         node = self.net.nodes[name]
-        node.state.usage.count("lab", "lookup", usage_nodes.totals(1))
+        node.state.usage.count("lab", "lookup", usage_nodes.request_totals(1))
         self.counted += 1
         self.pending[name] += 1
 
@@ -122,7 +127,7 @@
             return
         self.net.heal()
         self.net.loss = 0.0
-        self.wait(30.0)
+        self.run_and_check(30.0)
         states = [node.state for node in self.net.nodes.values()]
         now = self.net.now
         assert all(len(state.members.alive(now)) == 5 for state in states)
@@ -133,8 +138,8 @@
         assert self.counted - self.lost <= used.pop() <= self.counted
 
 
-TestPartitions = Partitions.TestCase
-# To shrink an example of this size takes minutes and helps little.
+TestPartitions = PartitionMachine.TestCase
+# Shrinking an example of this size takes minutes and helps little.
 TestPartitions.settings = settings(
     max_examples=25, stateful_step_count=20, phases=[Phase.generate]
 )
--- a/tests/cover/test_server_records.py
+++ b/tests/cover/test_server_records.py
@@ -1,4 +1,4 @@
-"""Records of backend servers: order, leases, leaving, repair."""
+"""Records of backend servers: ordering, leases, shutdown, anti-entropy."""
 
 from hypothesis import settings
 from hypothesis import stateful
@@ -22,12 +22,12 @@
     )
 
 
-class ServerRegistries(stateful.RuleBasedStateMachine):
-    """Three registries that get records late, repeated and out of order.
+class RegistryMachine(stateful.RuleBasedStateMachine):
+    """Three registries that get records late, repeatedly and out of order.
 
-    The clocks differ, but the age that each hop adds is never too small.
-    ``spoken`` is when a server last spoke, on the true clock; ``left`` the
-    epochs in which it said that it leaves.
+    The clocks are skewed, but the age that each hop adds is never too small.
+    ``announced`` is when a server last announced itself, on the true clock;
+    ``left`` has the epochs in which it announced its shutdown, and when.
     """
 
     NAMES = st.sampled_from(["e1", "e2"])
@@ -37,21 +37,21 @@
     def begin(self):
         self.now = 100.0
         self.skews = [0.0, 5_000.0, -50.0]
-        self.held = [servers.ServerRegistry() for _ in range(3)]
-        self.wire = []
+        self.registries = [servers.ServerRegistry() for _ in range(3)]
+        self.sent_records = []
         self.epochs = {"e1": 1, "e2": 1}
         self.sequences = {"e1": 0, "e2": 0}
-        self.spoken = {}
+        self.announced = {}
         self.left = {}
 
-    def at(self, place):
+    def local_time(self, place):
         return self.now + self.skews[place]
 
     @stateful.rule(seconds=st.sampled_from([0.2, 0.9, 2.5, 70.0]))
     def time_passes(self, seconds):
         self.now += seconds
-        for place, registry in enumerate(self.held):
-            registry.forget(self.at(place))
+        for place, registry in enumerate(self.registries):
+            registry.forget(self.local_time(place))
 
     @stateful.rule(name=NAMES)
     def restarts(self, name):
@@ -68,59 +68,67 @@
         epoch = self.epochs[name]
         leaving = leaving or epoch in self.left.get(name, ())
         self.sequences[name] += 1
-        said = announcement(
+        sent = announcement(
             epoch, self.sequences[name], name, leaving=leaving, lease=lease
         )
-        self.spoken[name] = self.now
+        self.announced[name] = self.now
         if leaving:
             self.left.setdefault(name, {}).setdefault(epoch, self.now)
-        # Another copy may still be on its way through another instance.
-        self.wire.append((self.now, servers.ServerRecord(said)))
-        self.held[place].learn(said, 0.0, self.at(place))
+        # Another copy may still be in transit through another instance.
+        self.sent_records.append((self.now, servers.ServerRecord(sent)))
+        self.registries[place].learn(sent, 0.0, self.local_time(place))
 
     @stateful.rule(place=PLACES, data=st.data())
     def an_old_record_arrives(self, place, data):
-        if not self.wire:
+        if not self.sent_records:
             return
-        spoken, record = data.draw(st.sampled_from(self.wire))
-        age = self.now - spoken
-        self.held[place].learn(record.announcement, age, self.at(place))
+        sent_at, record = data.draw(st.sampled_from(self.sent_records))
+        age = self.now - sent_at
+        self.registries[place].learn(
+            record.announcement, age, self.local_time(place)
+        )
 
     @stateful.rule(one=PLACES, other=PLACES)
     def registries_exchange(self, one, other):
         for source, target in ((one, other), (other, one)):
-            for name in list(self.held[source].servers):
-                record = self.held[source].record_of(name, self.at(source))
-                self.held[target].learn(
-                    record.announcement, record.age + 0.001, self.at(target)
+            for name in list(self.registries[source].servers):
+                record = self.registries[source].record_of(
+                    name, self.local_time(source)
+                )
+                self.registries[target].learn(
+                    record.announcement,
+                    record.age + 0.001,
+                    self.local_time(target),
                 )
 
     @stateful.rule(one=PLACES, other=PLACES)
     def one_renews_at_another(self, one, other):
-        for name in list(self.held[one].servers):
-            renewal = self.held[one].renewal_of(name, self.at(one))
-            self.held[other].renew(
-                renewal, renewal.age + 0.001, self.at(other)
+        for name in list(self.registries[one].servers):
+            renewal = self.registries[one].renewal_of(
+                name, self.local_time(one)
+            )
+            self.registries[other].renew(
+                renewal, renewal.age + 0.001, self.local_time(other)
             )
 
     @stateful.invariant()
     def a_silent_server_gets_no_new_work(self):
-        for place, registry in enumerate(self.held):
-            for server in registry.serving(self.at(place)):
+        for place, registry in enumerate(self.registries):
+            for server in registry.serving(self.local_time(place)):
                 name = server.announcement.backend_server
-                assert self.now - self.spoken[name] <= servers.LONGEST_LEASE
+                assert self.now - self.announced[name] <= servers.LONGEST_LEASE
 
     @stateful.invariant()
     def a_leaving_server_gets_no_new_work_after_its_bound(self):
-        for place, registry in enumerate(self.held):
-            for server in registry.serving(self.at(place)):
-                said = server.announcement
-                left = self.left.get(said.backend_server, {})
-                if said.epoch in left:
-                    assert self.now - left[said.epoch] <= 3.0
+        for place, registry in enumerate(self.registries):
+            for server in registry.serving(self.local_time(place)):
+                record = server.announcement
+                left = self.left.get(record.backend_server, {})
+                if record.epoch in left:
+                    assert self.now - left[record.epoch] <= 3.0
 
     def teardown(self):
-        if not hasattr(self, "held"):
+        if not hasattr(self, "registries"):
             return
         for _ in range(2):
             for one, other in ((0, 1), (1, 2), (0, 2)):
@@ -129,120 +137,120 @@
             {
                 name: (item.announcement.epoch, item.announcement.leaving)
                 for name, item in registry.servers.items()
-                if item.serves(self.at(place))
+                if item.serves(self.local_time(place))
             }
-            for place, registry in enumerate(self.held)
+            for place, registry in enumerate(self.registries)
         ]
         assert views[0] == views[1] == views[2]
 
 
-TestServerRegistries = ServerRegistries.TestCase
+TestServerRegistries = RegistryMachine.TestCase
 TestServerRegistries.settings = settings(
     max_examples=60, stateful_step_count=30
 )
 
 
-def serving(made, name="e1"):
+def serving_by_instance(network, name="e1"):
     return [
-        node.state.registry.servers[name].serves(made.now + node.skew)
-        for node in made.nodes.values()
+        node.state.registry.servers[name].serves(network.now + node.skew)
+        for node in network.nodes.values()
         if name in node.state.registry.servers
     ]
 
 
-def nine(**options):
-    made = pure_nodes.Network(**options)
+def nine_instances(**options):
+    network = pure_nodes.Network(**options)
     for index in range(9):
         skew = 1000.0 * index
-        made.add(f"i{index}", f"fd{index // 3}", skew=skew)
-    made.run(5.0)
-    return made
+        network.add(f"i{index}", f"fd{index // 3}", skew=skew)
+    network.run(5.0)
+    return network
 
 
-def speak(made, seconds, name="e1", first=1, **fields):
-    """Let a server announce itself each second, to one node after another."""
-    nodes = list(made.nodes.values())
+def announce_each_second(network, seconds, name="e1", first=1, **fields):
+    """Announce a server once per second, to each instance in turn."""
+    nodes = list(network.nodes.values())
     for count in range(seconds):
         node = nodes[count % len(nodes)]
-        made.announce(node, announcement(1, first + count, name, **fields))
-        made.run(1.0)
+        network.announce(node, announcement(1, first + count, name, **fields))
+        network.run(1.0)
 
 
 def test_every_instance_gives_work_while_a_server_announces_itself():
-    made = nine()
-    speak(made, 1)
-    for _ in range(20):
-        speak(made, 1, first=2 + _)
-        assert serving(made) == [True] * 9
-
-
-def test_leave_through_one_instance_wins_over_an_older_word_elsewhere():
-    # The server says through i0 that it leaves; its announcement from
-    # before, or one with a later number that it sent from another thread,
-    # arrives through i8 afterwards.  No instance may give it work again.
-    made = nine()
-    speak(made, 3)
-    nodes = list(made.nodes.values())
-    made.announce(nodes[0], announcement(1, 10, leaving=True))
-    made.announce(nodes[8], announcement(1, 9))
-    made.run(0.3)
-    assert serving(made) == [False] * 9
-    made.announce(nodes[8], announcement(1, 11))
-    made.run(3.0)
-    assert serving(made) == [False] * 9
+    network = nine_instances()
+    announce_each_second(network, 1)
+    for count in range(20):
+        announce_each_second(network, 1, first=2 + count)
+        assert serving_by_instance(network) == [True] * 9
+
+
+def test_leave_at_one_instance_wins_over_an_older_record_elsewhere():
+    # The server announces its shutdown to i0.  Then an older announcement,
+    # and one with a higher sequence that another of its threads sent, arrive
+    # at i8.  No instance may give the server work again.
+    network = nine_instances()
+    announce_each_second(network, 3)
+    nodes = list(network.nodes.values())
+    network.announce(nodes[0], announcement(1, 10, leaving=True))
+    network.announce(nodes[8], announcement(1, 9))
+    network.run(0.3)
+    assert serving_by_instance(network) == [False] * 9
+    network.announce(nodes[8], announcement(1, 11))
+    network.run(3.0)
+    assert serving_by_instance(network) == [False] * 9
 
 
 def test_leave_that_arrives_after_a_later_announcement_still_wins():
-    made = nine()
-    speak(made, 3, first=10)
-    last = list(made.nodes.values())[-1]
-    made.announce(last, announcement(1, 9, leaving=True))
-    made.run(0.3)
-    assert serving(made) == [False] * 9
-    made.announce(last, announcement(2, 1))
-    made.run(0.3)
-    assert serving(made) == [True] * 9
-
-
-def test_missed_leave_is_repaired_before_the_lease_lapses():
-    # i1 is cut off just when the server says, once, that it leaves.
-    made = nine()
-    speak(made, 3)
-    rest = [name for name in made.nodes if name != "i1"]
-    made.separate(["i1"], rest)
-    first = list(made.nodes.values())[0]
-    made.announce(first, announcement(1, 10, leaving=True))
-    made.run(0.2)
-    made.heal()
-    made.run(1.2)
-    held = made.nodes["i1"].state.registry.servers["e1"]
-    assert held.announcement.leaving
+    network = nine_instances()
+    announce_each_second(network, 3, first=10)
+    last = list(network.nodes.values())[-1]
+    network.announce(last, announcement(1, 9, leaving=True))
+    network.run(0.3)
+    assert serving_by_instance(network) == [False] * 9
+    network.announce(last, announcement(2, 1))
+    network.run(0.3)
+    assert serving_by_instance(network) == [True] * 9
+
+
+def test_missed_leave_is_repaired_before_the_lease_expires():
+    # i1 is partitioned while the server announces its shutdown, once.
+    network = nine_instances()
+    announce_each_second(network, 3)
+    rest = [name for name in network.nodes if name != "i1"]
+    network.separate(["i1"], rest)
+    first = list(network.nodes.values())[0]
+    network.announce(first, announcement(1, 10, leaving=True))
+    network.run(0.2)
+    network.heal()
+    network.run(1.2)
+    server = network.nodes["i1"].state.registry.servers["e1"]
+    assert server.announcement.leaving
 
 
 def test_silent_server_is_dropped_everywhere_within_its_lease():
-    made = nine()
-    speak(made, 3)
-    made.run(2.2)
-    assert not any(serving(made))
+    network = nine_instances()
+    announce_each_second(network, 3)
+    network.run(2.2)
+    assert not any(serving_by_instance(network))
 
 
-def test_lost_news_is_repaired():
-    # Every second message is lost: the change reaches everybody all the
-    # same, through the comparison of digests.
-    made = nine(seed=3, loss=0.5)
-    speak(made, 4)
+def test_lost_changes_are_repaired():
+    # Half of all messages are lost; the change still reaches every instance
+    # through the comparison of digests.
+    network = nine_instances(seed=3, loss=0.5)
+    announce_each_second(network, 4)
     for count in range(6):
-        speak(made, 1, first=10 + count, model="large")
+        announce_each_second(network, 1, first=10 + count, model="large")
     models = [
         node.state.registry.servers["e1"].announcement.models[0].name
-        for node in made.nodes.values()
+        for node in network.nodes.values()
     ]
     assert models == ["large"] * 9
 
 
 def test_change_is_not_hidden_by_later_renewals():
-    # i1 misses the record with the new model, but hears renewals that are
-    # newer than it.  It must fetch the record, not renew the stale one.
+    # The second registry misses the record with the new model, but gets a
+    # later renewal.  It must fetch the record, not renew the stale one.
     one, two = servers.ServerRegistry(), servers.ServerRegistry()
     for registry in (one, two):
         registry.learn(announcement(1, 1), 0.0, 1.0)
@@ -254,52 +262,52 @@
     assert two.digest.root == one.digest.root
 
 
-def test_message_held_up_on_the_way_cannot_prolong_a_lease():
-    # The renewals sit in a socket for four seconds while the process that
-    # should read them stands still.  They are old when it wakes up.
-    made = nine()
-    speak(made, 4)
-    made.delay = 6.0
-    speak(made, 1, first=5)
-    made.run(6.0)
-    assert not any(serving(made))
+def test_delayed_message_cannot_extend_a_lease():
+    # The renewals stay in a socket buffer for longer than a lease while the
+    # receiving process is paused.  They have expired when it reads them.
+    network = nine_instances()
+    announce_each_second(network, 4)
+    network.delay = 6.0
+    announce_each_second(network, 1, first=5)
+    network.run(6.0)
+    assert not any(serving_by_instance(network))
 
 
 def test_announcement_that_waited_for_a_paused_instance_renews_nothing():
-    # An instance stands still for five seconds.  A server's last
-    # announcement waits in its socket meanwhile; when it is read, before or
-    # after the first tick, it is as old as the pause and not new.
+    # An instance is paused for five seconds while a server's last
+    # announcement waits in its socket buffer.  Whether it is read before or
+    # after the first tick, its age must include the pause.
     for ticked in (False, True):
-        made = nine()
-        speak(made, 3)
-        node = made.nodes["i4"]
+        network = nine_instances()
+        announce_each_second(network, 3)
+        node = network.nodes["i4"]
         node.up = False
-        made.run(5.0)
+        network.run(5.0)
         node.up = True
         if ticked:
-            made.run(0.2)
-        made.announce(node, announcement(1, 10))
-        made.run(0.5)
-        assert not any(serving(made))
-        made.run(1.0)
-        made.announce(node, announcement(1, 11))
-        made.run(1.5)
-        assert serving(made) == [True] * 9
-
-
-def test_partitioned_instances_stop_to_give_work():
-    made = nine()
-    speak(made, 3)
+            network.run(0.2)
+        network.announce(node, announcement(1, 10))
+        network.run(0.5)
+        assert not any(serving_by_instance(network))
+        network.run(1.0)
+        network.announce(node, announcement(1, 11))
+        network.run(1.5)
+        assert serving_by_instance(network) == [True] * 9
+
+
+def test_partitioned_instances_stop_giving_work():
+    network = nine_instances()
+    announce_each_second(network, 3)
     cut = ["i6", "i7", "i8"]
-    made.separate(cut, [name for name in made.nodes if name not in cut])
-    first = list(made.nodes.values())[0]
+    network.separate(cut, [name for name in network.nodes if name not in cut])
+    first = list(network.nodes.values())[0]
     for count in range(4):
-        made.announce(first, announcement(1, 10 + count))
-        made.run(1.0)
-    now = {name: node.state for name, node in made.nodes.items()}
-    held = now["i7"].registry.servers["e1"]
-    assert not held.serves(made.now + made.nodes["i7"].skew)
-    made.heal()
-    made.announce(first, announcement(1, 20))
-    made.run(2.0)
-    assert serving(made) == [True] * 9
+        network.announce(first, announcement(1, 10 + count))
+        network.run(1.0)
+    states = {name: node.state for name, node in network.nodes.items()}
+    server = states["i7"].registry.servers["e1"]
+    assert not server.serves(network.now + network.nodes["i7"].skew)
+    network.heal()
+    network.announce(first, announcement(1, 20))
+    network.run(2.0)
+    assert serving_by_instance(network) == [True] * 9
--- a/tests/cover/test_usage_ledger.py
+++ b/tests/cover/test_usage_ledger.py
@@ -1,4 +1,4 @@
-"""The usage ledger: nothing lost, nothing counted twice."""
+"""The usage ledger neither loses counts nor counts anything twice."""
 
 from hypothesis import settings
 from hypothesis import stateful
@@ -14,12 +14,11 @@
 ORGANISATIONS = ("dock", "lab")
 
 
-class Ledgers(stateful.RuleBasedStateMachine):
+class LedgerMachine(stateful.RuleBasedStateMachine):
     """Three instances that count, restart, fold and exchange rows.
 
-    Messages are kept and come late, repeated and in any order.  A start
-    that ends takes along what it had not yet sent; the model knows it as
-    lost.
+    Messages are kept and delivered late, repeatedly and in any order.
+    ``counted`` is the model: the totals counted by each publisher.
     """
 
     PLACES = st.integers(0, 2)
@@ -28,17 +27,17 @@
     @stateful.initialize()
     def begin(self):
         self.incarnations = [1, 1, 1]
-        self.ledgers = [self.new(place) for place in range(3)]
+        self.ledgers = [self.new_ledger_at(place) for place in range(3)]
         self.counted = {}
-        self.wire = []
+        self.sent_messages = []
 
-    def new(self, place):
+    def new_ledger_at(self, place):
         own = usage.Publisher(f"i{place}", self.incarnations[place])
-        made = ledger.UsageLedger(own)
-        made.day = usage_nodes.DAY
-        return made
+        new_ledger = ledger.UsageLedger(own)
+        new_ledger.day = usage_nodes.DAY
+        return new_ledger
 
-    def through_codec(self, message):
+    def encode_and_decode(self, message):
         sender = codec.messages.Sender("i0", "", "", "", 1)
         body = codec.encode(codec.Envelope(sender, [message]))
         return codec.decode(body)[0].messages[0]
@@ -47,32 +46,36 @@
         place=PLACES, organisation=ORGANISATION, count=st.integers(0, 9)
     )
     def counts(self, place, organisation, count):
-        held = self.ledgers[place]
-        held.count(organisation, "lookup", usage_nodes.totals(count))
-        by = self.counted.setdefault(held.own, {})
-        by.setdefault(organisation, usage.Totals()).add(
-            usage_nodes.totals(count)
+        own_ledger = self.ledgers[place]
+        own_ledger.count(
+            organisation, "lookup", usage_nodes.request_totals(count)
+        )
+        by_organisation = self.counted.setdefault(own_ledger.own, {})
+        by_organisation.setdefault(organisation, usage.Totals()).add(
+            usage_nodes.request_totals(count)
         )
 
     @stateful.rule(place=PLACES, since=st.integers(0, 5))
     def sends_rows(self, place, since):
-        held = self.ledgers[place]
-        since = min(since, held.own_version())
-        message = held.rows_since(held.own, since)
-        self.wire.append(self.through_codec(message))
+        own_ledger = self.ledgers[place]
+        since = min(since, own_ledger.own_version())
+        message = own_ledger.rows_since(own_ledger.own, since)
+        self.sent_messages.append(self.encode_and_decode(message))
 
     @stateful.rule(place=PLACES, data=st.data())
     def an_old_message_arrives(self, place, data):
-        if self.wire:
-            self.ledgers[place].merge(data.draw(st.sampled_from(self.wire)))
+        if self.sent_messages:
+            self.ledgers[place].merge(
+                data.draw(st.sampled_from(self.sent_messages))
+            )
 
     @stateful.rule(one=PLACES, other=PLACES)
     def one_brings_another_up_to_date(self, one, other):
         if one == other:
             return
-        have = self.through_codec(self.ledgers[other].have())
+        have = self.encode_and_decode(self.ledgers[other].have())
         for message in self.ledgers[one].answer(have):
-            message = self.through_codec(message)
+            message = self.encode_and_decode(message)
             if isinstance(message, usage.UsageCheckpoint):
                 self.ledgers[other].adopt(message)
             else:
@@ -84,29 +87,29 @@
         for one in range(3):
             self.one_brings_another_up_to_date(place, one)
         self.incarnations[place] += 1
-        self.ledgers[place] = self.new(place)
+        self.ledgers[place] = self.new_ledger_at(place)
         assert old.own not in self.ledgers[place].publishers_of(f"i{place}")
 
     @stateful.rule(place=PLACES)
     def restarts_from_its_disk(self, place):
         old = self.ledgers[place]
         self.incarnations[place] += 1
-        self.ledgers[place] = self.new(place)
+        self.ledgers[place] = self.new_ledger_at(place)
         self.ledgers[place].restore(old.snapshot())
 
     @stateful.rule(place=PLACES)
     def all_agree_and_one_folds(self, place):
         self.exchange_all()
-        for held in self.ledgers:
-            for instance in held.unfolded():
-                now = self.incarnations[int(instance[1:])]
-                for publisher in held.publishers_of(instance):
-                    if publisher.incarnation < now:
-                        held.finish(publisher)
-        roots = {held.finished_root() for held in self.ledgers}
+        for each in self.ledgers:
+            for instance in each.unfolded():
+                current = self.incarnations[int(instance[1:])]
+                for publisher in each.publishers_of(instance):
+                    if publisher.incarnation < current:
+                        each.finish(publisher)
+        roots = {each.finished_root() for each in self.ledgers}
         assert len(roots) == 1
         self.ledgers[place].fold()
-        assert {held.finished_root() for held in self.ledgers} == roots
+        assert {each.finished_root() for each in self.ledgers} == roots
 
     def exchange_all(self):
         for _ in range(2):
@@ -116,41 +119,43 @@
 
     @stateful.invariant()
     def nobody_holds_more_than_was_counted(self):
-        for held in self.ledgers:
+        for each in self.ledgers:
             for organisation in ORGANISATIONS:
-                counted = self.total(organisation)
-                used = held.used(organisation, "lookup")
-                assert used == held.used_by(organisation)
-                assert used == held.used_today(organisation)
+                counted = self.expected_total(organisation)
+                used = each.used(organisation, "lookup")
+                assert used == each.used_by(organisation)
+                assert used == each.used_today(organisation)
                 for field in used.__struct_fields__:
                     assert getattr(used, field) <= getattr(counted, field)
 
-    def total(self, organisation):
-        out = usage.Totals()
-        for by in self.counted.values():
-            out.add(by.get(organisation, usage.Totals()))
-        return out
+    def expected_total(self, organisation):
+        expected = usage.Totals()
+        for by_organisation in self.counted.values():
+            expected.add(by_organisation.get(organisation, usage.Totals()))
+        return expected
 
     def teardown(self):
         if not hasattr(self, "ledgers"):
             return
         self.exchange_all()
-        for held in self.ledgers:
-            assert held.late == 0
+        for each in self.ledgers:
+            assert each.late == 0
             for organisation in ORGANISATIONS:
-                assert held.used_by(organisation) == self.total(organisation)
-        assert len({held.version() for held in self.ledgers}) == 1
+                assert each.used_by(organisation) == self.expected_total(
+                    organisation
+                )
+        assert len({each.version() for each in self.ledgers}) == 1
 
 
-TestLedgers = Ledgers.TestCase
+TestLedgers = LedgerMachine.TestCase
 TestLedgers.settings = settings(max_examples=100, stateful_step_count=40)
 
 
-def test_row_that_was_missed_is_asked_for():
+def test_missing_row_is_requested():
     one = ledger.UsageLedger(usage.Publisher("i1", 1))
     two = ledger.UsageLedger(usage.Publisher("i2", 1))
-    one.count("dock", "lookup", usage_nodes.totals(1))
-    one.count("lab", "lookup", usage_nodes.totals(1))
+    one.count("dock", "lookup", usage_nodes.request_totals(1))
+    one.count("lab", "lookup", usage_nodes.request_totals(1))
     assert not two.merge(one.rows_since(one.own, 1))
     assert two.held_version(one.own) == 0
     for message in one.answer(two.have()):
@@ -160,11 +165,11 @@
 
 
 def test_late_copy_of_a_folded_row_counts_nothing():
-    # A message of an instance's last start was under way all the while
-    # that all others folded that start into a checkpoint.
+    # A message from the previous incarnation of an instance is delayed until
+    # the others have folded that incarnation into a checkpoint.
     one = ledger.UsageLedger(usage.Publisher("i1", 1))
     two = ledger.UsageLedger(usage.Publisher("i2", 1))
-    one.count("lab", "lookup", usage_nodes.totals(1))
+    one.count("lab", "lookup", usage_nodes.request_totals(1))
     message = one.rows_since(one.own, 0)
     two.merge(message)
     two.finish(one.own)
@@ -174,105 +179,121 @@
 
 
 def test_all_instances_hold_what_each_counted_in_spite_of_losses():
-    made = usage_nodes.nine(seed=5, loss=0.3)
+    network = usage_nodes.nine_instances(seed=5, loss=0.3)
     for index in range(90):
-        node = made.nodes[f"i{index % 9}"]
-        node.state.usage.count("lab", "lookup", usage_nodes.totals(1))
-        made.run(0.1)
-    made.run(8.0)
-    assert [usage_nodes.used(made, name) for name in made.nodes] == [90] * 9
+        node = network.nodes[f"i{index % 9}"]
+        node.state.usage.count("lab", "lookup", usage_nodes.request_totals(1))
+        network.run(0.1)
+    network.run(8.0)
+    assert [
+        usage_nodes.requests_used(network, name) for name in network.nodes
+    ] == [90] * 9
 
 
 def test_crash_loses_at_most_a_second_and_copies_outlive_a_domain():
-    # An instance counts ten requests a second and dies, and its whole
-    # failure domain with it.  The others must know all but the last second.
-    made = usage_nodes.nine()
+    # An instance counts ten requests per second, then its whole failure
+    # domain crashes.  The others must have all but the last second.
+    network = usage_nodes.nine_instances()
     for _ in range(50):
-        made.nodes["i0"].state.usage.count(
-            "lab", "lookup", usage_nodes.totals(1)
+        network.nodes["i0"].state.usage.count(
+            "lab", "lookup", usage_nodes.request_totals(1)
         )
-        made.run(0.1)
+        network.run(0.1)
     for name in ("i0", "i1", "i2"):
-        made.nodes[name].up = False
-    made.run(3.0)
-    for name in list(made.nodes)[3:]:
-        assert usage_nodes.used(made, name) >= 40
+        network.nodes[name].up = False
+    network.run(3.0)
+    for name in list(network.nodes)[3:]:
+        assert usage_nodes.requests_used(network, name) >= 40
 
 
 def test_partition_neither_loses_nor_doubles_a_count():
-    made = usage_nodes.nine()
+    network = usage_nodes.nine_instances()
     inside = ["i0", "i1", "i2"]
-    made.separate(inside, [name for name in made.nodes if name not in inside])
+    network.separate(
+        inside, [name for name in network.nodes if name not in inside]
+    )
     for index in range(60):
-        node = made.nodes[f"i{index % 9}"]
-        node.state.usage.count("lab", "lookup", usage_nodes.totals(1))
-        made.run(0.5)
-    assert usage_nodes.used(made, "i0") == 21
-    made.heal()
-    made.run(10.0)
-    assert [usage_nodes.used(made, name) for name in made.nodes] == [60] * 9
-
-
-def test_many_restarts_leave_the_rows_of_one():
+        node = network.nodes[f"i{index % 9}"]
+        node.state.usage.count("lab", "lookup", usage_nodes.request_totals(1))
+        network.run(0.5)
+    assert usage_nodes.requests_used(network, "i0") == 21
+    network.heal()
+    network.run(10.0)
+    assert [
+        usage_nodes.requests_used(network, name) for name in network.nodes
+    ] == [60] * 9
+
+
+def test_many_restarts_leave_one_publisher_per_instance():
     usage_nodes.check_restarts(36)
 
 
-def test_instance_cut_off_for_long_keeps_what_it_counted():
-    # It is taken for failed, yet goes on counting alone for an hour; its
-    # publisher must not be folded away meanwhile.
-    made = usage_nodes.nine()
-    rest = [name for name in made.nodes if name != "i0"]
-    made.separate(["i0"], rest)
-    made.run(30.0)
+def test_instance_isolated_for_long_keeps_its_counts():
+    # The others consider the instance failed, but it continues to count in
+    # isolation; they must not fold its publisher in the meantime.
+    network = usage_nodes.nine_instances()
+    rest = [name for name in network.nodes if name != "i0"]
+    network.separate(["i0"], rest)
+    network.run(30.0)
     for _ in range(30):
-        made.nodes["i0"].state.usage.count(
-            "lab", "lookup", usage_nodes.totals(1)
+        network.nodes["i0"].state.usage.count(
+            "lab", "lookup", usage_nodes.request_totals(1)
         )
-        made.run(1.0)
-    failed = made.nodes["i1"].state.members.members["i0"].standing
+        network.run(1.0)
+    failed = network.nodes["i1"].state.members.members["i0"].standing
     assert failed is member_records.Standing.FAILED
-    made.heal()
-    made.run(12.0)
-    assert [usage_nodes.used(made, name) for name in made.nodes] == [30] * 9
-
-
-def test_start_with_an_older_wall_clock_still_counts():
-    # The clock of the machine was set back: the new start's incarnation is
-    # below one that is folded already, whose rows nobody takes any more.
-    made = usage_nodes.nine()
-    made.run(60.0)
-    old = made.nodes["i0"]
-    old.state.usage.count("lab", "lookup", usage_nodes.totals(1))
-    made.run(2.0)
+    network.heal()
+    network.run(12.0)
+    assert [
+        usage_nodes.requests_used(network, name) for name in network.nodes
+    ] == [30] * 9
+
+
+def test_restart_with_an_older_wall_clock_still_counts():
+    # The wall clock was set back, so the new incarnation is lower than one
+    # that is folded already, and the others would discard its rows.
+    network = usage_nodes.nine_instances()
+    network.run(60.0)
+    old = network.nodes["i0"]
+    old.state.usage.count("lab", "lookup", usage_nodes.request_totals(1))
+    network.run(2.0)
     for number in (1 << 41, 5):
-        node = usage_nodes.restart(made, "i0", number)
-        node.state.usage.count("lab", "lookup", usage_nodes.totals(1))
-        made.run(20.0)
-    made.run(70.0)
-    assert [usage_nodes.used(made, name) for name in made.nodes] == [3] * 9
-
-
-def test_start_with_an_older_wall_clock_inside_a_partition_counts_once():
-    # The instance restarts with its wall clock set back while its domain is
-    # cut off, counts, and hears only afterwards that others know of a
-    # greater incarnation.  What it told its own domain must not be counted
-    # again under the one that it takes then.
-    made = usage_nodes.nine()
-    made.nodes["i0"].state.usage.count("lab", "lookup", usage_nodes.totals(1))
-    made.run(3.0)
+        node = usage_nodes.restart_instance(network, "i0", number)
+        node.state.usage.count("lab", "lookup", usage_nodes.request_totals(1))
+        network.run(20.0)
+    network.run(70.0)
+    assert [
+        usage_nodes.requests_used(network, name) for name in network.nodes
+    ] == [3] * 9
+
+
+def test_restart_with_an_older_wall_clock_inside_a_partition_counts_once():
+    # The instance restarts with its wall clock set back while its failure
+    # domain is partitioned, counts, and learns only afterwards that others
+    # know a higher incarnation.  The rows that it sent within its domain
+    # must not be counted again under the incarnation that it switches to.
+    network = usage_nodes.nine_instances()
+    network.nodes["i0"].state.usage.count(
+        "lab", "lookup", usage_nodes.request_totals(1)
+    )
+    network.run(3.0)
     inside = ["i0", "i1", "i2"]
-    outside = [name for name in made.nodes if name not in inside]
+    outside = [name for name in network.nodes if name not in inside]
     for name in inside:
-        made.nodes[name].up = False
-    made.separate(inside, outside)
+        network.nodes[name].up = False
+    network.separate(inside, outside)
     for number, name in enumerate(inside):
-        made.nodes.pop(name)
-        usage_nodes.start(made, name, "fd0", number)
-    made.run(8.0)
-    made.nodes["i0"].state.usage.count("lab", "lookup", usage_nodes.totals(1))
-    made.run(5.0)
-    assert usage_nodes.used(made, "i1") == 1
-    made.heal()
-    made.run(20.0)
-    found = [usage_nodes.used(made, name) for name in made.nodes]
+        network.nodes.pop(name)
+        usage_nodes.start_instance(network, name, "fd0", number)
+    network.run(8.0)
+    network.nodes["i0"].state.usage.count(
+        "lab", "lookup", usage_nodes.request_totals(1)
+    )
+    network.run(5.0)
+    assert usage_nodes.requests_used(network, "i1") == 1
+    network.heal()
+    network.run(20.0)
+    found = [
+        usage_nodes.requests_used(network, name) for name in network.nodes
+    ]
     assert found == [2] * 9
