--- a/packages/dandeliontrail/src/dandeliontrail/coordination/server_loads.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/server_loads.py
@@ -71,8 +71,8 @@
 def differ(loads, previous):
     """Return whether loads changed enough to be reported at once.
 
-    The number of unprocessed prompt tokens is the main input of the
-    placement decisions.
+    Other instances base their decisions mainly on the number of prompt
+    tokens that an engine has yet to process.
     """
     remaining = {load.server: load for load in previous}
     for load in loads:
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/usage_windows.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/usage_windows.py
@@ -230,12 +230,12 @@
         )
         self.last = decision.window
         self.counts[decision.window] = decision.counts
-        self._note_taken(decision.taken)
+        self._record_accepted(decision.taken)
         while len(self.counts) > MAX_DECIDED_WINDOWS:
             del self.counts[min(self.counts)]
         return WindowResult(True)
 
-    def _note_taken(self, taken):
+    def _record_accepted(self, taken):
         if self.taken is not None:
             taken = max(self.taken, taken)
         self.taken = taken
--- a/packages/dandeliontrail/src/dandeliontrail/resources/revisions.py
+++ b/packages/dandeliontrail/src/dandeliontrail/resources/revisions.py
@@ -47,7 +47,7 @@
 
 
 class Engine(msgspec.Struct):
-    """The declared capacity of the model engines of a service."""
+    """The declared properties of the model engines of a service."""
 
     slots: int = 0
     kv_tokens: int = 0
--- a/packages/dandeliontrail/src/dandeliontrail/resources/store.py
+++ b/packages/dandeliontrail/src/dandeliontrail/resources/store.py
@@ -18,7 +18,10 @@
 
 
 class Resource(msgspec.Struct):
-    """A declared object; ``version`` is the log position of its change."""
+    """A declared object.
+
+    ``version`` is the log position of its last change.
+    """
 
     kind: specs.Kind
     name: str
