--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/__init__.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/__init__.py
@@ -1,7 +1,8 @@
-"""Forwards requests of declared routes, unchanged, and their answers.
+"""Forwards requests of declared routes and their answers, unchanged.
 
-Beside the paths of :mod:`..listeners.callers`, whose bodies the node reads
-and continues, a deployment may declare routes: any method and path, to any
-service.  What callers and backend servers say on the wire about a request
-differs between platforms; a :class:`.dialect.Dialect` reads and writes it.
+The paths of :mod:`..listeners.callers` have request bodies that the instance
+parses and whose answers it can continue.  In addition a deployment may
+declare routes, with any method and path, to any service.  The headers by
+which callers and backend servers describe a request differ between
+platforms; a :class:`.dialect.Dialect` reads and writes them.
 """
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/answer_parser.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/answer_parser.py
@@ -1,20 +1,20 @@
-"""Reads the answers that come over one connection, one after the other.
+"""Parses the HTTP answers on one connection, in order.
 
-A faulty server may send bytes after a complete answer, or a second answer
-late, where the next one is due.  So every message on the connection becomes
-an :class:`Answer` of its own, in order, and whoever reads decides which is
-the one that was asked for.
+A faulty server may send bytes after a complete answer, or a late second
+answer where the answer to the next request is expected.  So every message on
+the connection becomes an :class:`Answer` of its own, and the reader decides
+which of them belongs to its request.
 """
 
 import collections
 
-from geventhttpclient import response as library
+from geventhttpclient import response as http_response
 
-ParseError = library.HTTPParseError
+ParseError = http_response.HTTPParseError
 
 
 class Answer:
-    """One answer; ``body`` holds what has not been taken out yet."""
+    """One answer; ``body`` holds the bytes that were not taken yet."""
 
     __slots__ = ("status", "headers", "body", "head_done", "complete")
 
@@ -26,24 +26,27 @@
         self.complete = False
 
     def get(self, name):
-        """Return the first header called ``name`` in lower case, or ''."""
-        for held, value in self.headers:
-            if held.lower() == name:
+        """Return the value of the first header ``name``, or ''.
+
+        ``name`` is given in lower case.
+        """
+        for header, value in self.headers:
+            if header.lower() == name:
                 return value
         return ""
 
     def take(self):
-        """Return the body so far and empty it."""
-        taken = bytes(self.body)
+        """Return the body received so far and clear it."""
+        data = bytes(self.body)
         self.body.clear()
-        return taken
+        return data
 
 
-class AnswerParser(library.HTTPResponseParser):
-    """Turns the bytes of a connection into answers.
+class AnswerParser(http_response.HTTPResponseParser):
+    """Turns the bytes of a connection into :class:`Answer` objects.
 
-    The parser is the library's; its own response object keeps one message
-    at a time and forgets it when the next begins.
+    The parser is that of geventhttpclient.  Its own response class keeps one
+    message at a time and discards it when the next begins.
     """
 
     def __init__(self):
@@ -54,25 +57,25 @@
         self._in_value = False
 
     def pop(self):
-        """Return the oldest answer and forget it."""
+        """Remove the oldest answer and return it."""
         return self.answers.popleft()
 
     def _on_message_begin(self):
         self.answers.append(Answer())
 
     def _on_status(self, text):
-        """The phrase beside the status is of no use to anyone."""
+        """Ignore the reason phrase."""
 
     def _on_header_field(self, text):
         if self._in_value:
-            self._flush()
+            self._finish_header()
         self._field += text
 
     def _on_header_value(self, text):
         self._in_value = True
         self._value += text
 
-    def _flush(self):
+    def _finish_header(self):
         if self._field:
             self.answers[-1].headers.append((self._field, self._value))
         self._field = ""
@@ -80,7 +83,7 @@
         self._in_value = False
 
     def _on_headers_complete(self):
-        self._flush()
+        self._finish_header()
         answer = self.answers[-1]
         answer.status = self.get_code()
         answer.head_done = True
@@ -92,7 +95,7 @@
     def _on_message_complete(self):
         answer = self.answers[-1]
         if answer.status < 200:
-            # An interim answer; the final one follows.
+            # An interim (1xx) answer; the final one follows.
             self.answers.pop()
             return
         answer.complete = True
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/app.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/app.py
@@ -1,15 +1,15 @@
-"""The listener for requests of declared routes."""
+"""The WSGI application for requests of declared routes."""
 
 from .. import wsgi
 from . import forwarder
 
-# Where no revision bounds them yet.
-BODY_BYTES = 8 * 1024 * 1024
+# Used while no configuration revision sets a limit.
+DEFAULT_MAX_BODY_BYTES = 8 * 1024 * 1024
 BODY_SECONDS = 10.0
 
 
 class ForwardApp:
-    """Hands each request to a forwarder of its own."""
+    """Serves each request with a new :class:`.forwarder.Forwarder`."""
 
     def __init__(self, host, connections, dialect, drain):
         self._host = host
@@ -30,7 +30,7 @@
             )
             text = wsgi.error_body(problem)
             return wsgi.reply(start_response, problem.status, text, headers)
-        served = forwarder.Forwarder(
+        request_forwarder = forwarder.Forwarder(
             self._host,
             self._connections,
             self._dialect,
@@ -38,19 +38,19 @@
             body,
             environ.get(wsgi.SOCKET),
         )
-        return served.serve(start_response)
+        return request_forwarder.serve(start_response)
 
     def _body_limit(self):
         table = self._host.state.routing.table
         limit = table.revision.limits.body_bytes if table else 0
-        return limit or BODY_BYTES
+        return limit or DEFAULT_MAX_BODY_BYTES
 
     def _draining(self, request_id):
         return wsgi.Problem(
             503,
             "draining",
-            "This instance is on its way out.",
-            "send it again; the balancer will choose another instance",
+            "This instance is shutting down.",
+            "send it again; the load balancer will choose another instance",
             outcome="not-run",
             request_id=request_id,
             retry_after=0.1,
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/attempt.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/attempt.py
@@ -1,8 +1,8 @@
-"""One attempt at one backend server: its head, then its outputs.
+"""One attempt at one backend server: reads the head, then the outputs.
 
-An attempt whose server is silent is not lost: reading may go on after
-:class:`.upstream.Silent` as if nothing had been.  Whether and when another
-server is asked meanwhile is not decided here.
+An attempt whose server is silent has not failed: reading can be resumed
+after :class:`.upstream.Silent`.  Whether and when a hedged request goes to
+another server is not decided here.
 """
 
 import time
@@ -20,18 +20,19 @@
 
 
 class NotExecuted(Exception):
-    """The server says that it did not run the request.
+    """The server answered that it did not run the request.
 
-    ``gone`` tells that it is another server than the one that was meant.
+    ``server_replaced`` is true if another server than the intended one
+    answered at its address.
     """
 
-    def __init__(self, answer, gone):
+    def __init__(self, answer, server_replaced):
         super().__init__(f"the server answered {answer.status}, not run")
-        self.gone = gone
+        self.server_replaced = server_replaced
 
 
 class ServerFailed(Exception):
-    """The server answered with a failure of its own, ``output``."""
+    """The server answered with an error status; ``output`` is its answer."""
 
     def __init__(self, output):
         super().__init__(f"the server answered {output.answer.status}")
@@ -43,10 +44,11 @@
 
 
 class Output(msgspec.Struct):
-    """What came of a server: a whole answer, or events of a stream.
+    """Data read from a server: a whole answer, or events of a stream.
 
-    ``events`` is ``None`` for a whole answer, whose body is ``body``, and
-    ``b""`` at the proper end of a stream.
+    For a whole answer ``events`` is ``None`` and ``body`` holds the body.
+    For a stream ``events`` holds whole events, and ``b""`` once the stream
+    is complete.
     """
 
     answer: object
@@ -57,38 +59,39 @@
 class Attempt:
     """Sends a request to the server of one dispatch and reads its answer.
 
-    ``patience`` is how long its first byte is waited for.  ``last_id`` names
-    the event after which a stream goes on; ``resuming`` tells that the caller
-    has the head of the answer from another server.
+    ``silence_timeout`` is how many seconds to wait for the first byte,
+    ``None`` for no limit.  ``last_id`` is the id of the event after which a
+    stream resumes.  ``resuming`` is true if the caller already has the head
+    of the answer, from another server.
 
-    >>> attempt = Attempt(sending, dispatch, deadline)  # doctest: +SKIP
-    >>> attempt.next().events  # doctest: +SKIP
+    >>> attempt = Attempt(context, dispatch, deadline)  # doctest: +SKIP
+    >>> attempt.next_output().events  # doctest: +SKIP
     b'id: 1\\ndata: Hel\\n\\n'
     """
 
     def __init__(
         self,
-        sending,
+        context,
         dispatch,
         deadline,
-        patience=None,
+        silence_timeout=None,
         last_id="",
         resuming=False,
     ):
         self.dispatch = dispatch
-        self.spoke = False
-        self._sending = sending
+        self.has_output = False
+        self._context = context
         self._deadline = deadline
-        self._patience = patience
+        self._silence_timeout = silence_timeout
         self._resuming = resuming
         self._splitter = events_splitter.EventsSplitter(last_id)
-        self._upstream = None
+        self._request = None
         self._answer = None
         self._is_stream = False
 
     @property
     def number(self):
-        """The number of the attempt in the life of the request."""
+        """The number of this attempt among those of the request."""
         return self.dispatch.attempt
 
     @property
@@ -96,53 +99,54 @@
         """The id of the last whole event."""
         return self._splitter.last_id
 
-    def next(self):
+    def next_output(self):
         """Return the next :class:`Output`.
 
-        Raises ``Silent`` where none came for as long as the server's
-        patience lasts, and may then be called again.
+        Raises ``Silent`` if the silence timeout passes without a byte, and
+        may then be called again.
         """
-        if self._upstream is None:
-            self._begin()
+        if self._request is None:
+            self._start()
         answer = self._answer
         if answer is None:
-            answer = self._head()
+            answer = self._read_head()
         if self._is_stream:
-            return Output(answer, self._events())
-        return self._whole(answer)
+            return Output(answer, self._read_events())
+        return self._read_whole(answer)
 
-    def be_patient(self, seconds):
-        """Wait so long for each byte from now on, ``None`` without a bound."""
-        if self._upstream is not None:
-            self._upstream.wait_at_most(seconds)
+    def set_silence_timeout(self, seconds):
+        """Set the timeout in seconds per read or write, ``None`` for none."""
+        if self._request is not None:
+            self._request.set_silence_timeout(seconds)
 
     def close(self):
-        """End the attempt; a server that is at work on it is to stop."""
-        upstream, self._upstream = self._upstream, None
-        if upstream is not None:
-            upstream.release()
+        """End the attempt; a server still working on it is told to stop."""
+        request, self._request = self._request, None
+        if request is not None:
+            request.release()
 
-    def _begin(self):
-        sending = self._sending
+    def _start(self):
+        context = self._context
         dispatch = self.dispatch
-        incoming = sending.incoming
-        upstream = upstream_module.Upstream(
-            sending.connections,
+        incoming = context.incoming
+        request = upstream_module.BackendRequest(
+            context.connections,
             connections_module.address_of(dispatch.url),
-            sending.dialect,
+            context.dialect,
             incoming.request_id,
         )
-        upstream.connect()
-        self._upstream = upstream
-        if not sending.host.is_current(dispatch):
-            # Its caller may have been told by now that nothing ran.
+        request.connect()
+        self._request = request
+        if not context.host.is_current(dispatch):
+            # The caller may have been told by now that nothing ran, so the
+            # request must not be sent.
             self.close()
             raise Superseded()
-        life = sending.host.life(incoming.request_id)
-        sending.host.submit(
+        life = context.host.life(incoming.request_id)
+        context.host.submit(
             events.AttemptBegan(incoming.request_id, dispatch.attempt)
         )
-        attempt = dialect_module.Attempt(
+        attempt = dialect_module.AttemptInfo(
             dispatch.backend_server,
             life.work.organisation,
             dispatch.priority,
@@ -152,50 +156,52 @@
         )
         headers = [
             *incoming.headers,
-            *sending.dialect.attempt_headers(attempt),
+            *context.dialect.attempt_headers(attempt),
         ]
-        upstream.wait_at_most(self._patience)
-        upstream.prepare(
-            incoming.method, incoming.target, headers, sending.body
+        request.set_silence_timeout(self._silence_timeout)
+        request.prepare(
+            incoming.method, incoming.target, headers, context.body
         )
 
-    def _head(self):
-        self._upstream.send()
-        answer = self._upstream.head()
-        dialect = self._sending.dialect
+    def _read_head(self):
+        self._request.send()
+        answer = self._request.read_head()
+        dialect = self._context.dialect
         if dialect.not_executed(answer):
             raise NotExecuted(answer, dialect.is_other_server(answer))
         self._is_stream = _is_stream(answer)
         if self._resuming and not self._is_stream:
-            self._upstream.whole_body()
+            self._request.read_whole_body()
             raise upstream_module.Broken(
-                f"not resumed: the server answered {answer.status}"
+                f"stream not resumed: the server answered {answer.status}"
             )
         self._answer = answer
         return answer
 
-    def _events(self):
-        """Return the next whole events, ``b""`` at the stream's end."""
-        upstream = self._upstream
+    def _read_events(self):
+        """Return the next whole events, ``b""`` at the end of the stream."""
+        request = self._request
         while True:
-            data = upstream.more()
+            data = request.read_body_part()
             if not data:
                 if self._splitter.pending:
-                    raise upstream_module.Broken("it ended within an event")
+                    raise upstream_module.Broken(
+                        "the stream ended in the middle of an event"
+                    )
                 return b""
             whole = self._splitter.feed(data)
             if whole:
                 return whole
 
-    def _whole(self, answer):
-        output = Output(answer, body=self._upstream.whole_body())
+    def _read_whole(self, answer):
+        output = Output(answer, body=self._request.read_whole_body())
         if answer.status >= 500 and self.dispatch.repeatable:
             raise ServerFailed(output)
         return output
 
 
-class Sending(msgspec.Struct):
-    """What all attempts at one request send, and with what."""
+class RequestContext(msgspec.Struct):
+    """What all attempts of one request share."""
 
     host: object
     connections: object
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/caller_watch.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/caller_watch.py
@@ -1,9 +1,9 @@
-"""Notices at once that a caller has closed its connection.
+"""Detects immediately that a caller has closed its connection.
 
-A caller that leaves costs its servers work that nobody wants.  While a
-request is under way nothing is read from its connection, so the loop is
-asked to say when it becomes readable: either the caller closed it, or it
-has sent its next request already, which is left where it is.
+Work for a caller that has disconnected is wasted.  While a request is being
+served nothing reads from its connection, so an event-loop watcher waits for
+the socket to become readable: then either the caller has closed the
+connection, or it has already sent its next request, which stays unread.
 """
 
 import socket
@@ -18,7 +18,7 @@
 
 
 class CallerWatch:
-    """Raises :class:`CallerLeft` in the greenlet that entered it.
+    """Context manager that raises :class:`CallerLeft` in its greenlet.
 
     >>> with CallerWatch(sock):  # doctest: +SKIP
     ...     serve()
@@ -35,7 +35,7 @@
         if self._sock is not None:
             loop = gevent.get_hub().loop
             self._watcher = loop.io(self._sock.fileno(), 1)
-            self._watcher.start(self._readable)
+            self._watcher.start(self._on_readable)
         return self
 
     def __exit__(self, *exc_info):
@@ -48,26 +48,28 @@
             self._watcher.close()
             self._watcher = None
 
-    def _readable(self):
+    def _on_readable(self):
         self._stop()
-        if not self._closed():
+        if not self._is_closed():
             return
         self.left = True
         greenlet = self._greenlet
         if greenlet is not None:
             greenlet.kill(CallerLeft(), block=False)
 
-    def _closed(self):
-        """Tell whether the connection has ended; runs in the loop."""
+    def _is_closed(self):
+        """Return whether the connection has ended; runs in the event loop."""
         try:
-            plain = socket.socket(fileno=self._sock.fileno())
+            raw_socket = socket.socket(fileno=self._sock.fileno())
         except OSError:
             return True
         try:
-            return not plain.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+            return not raw_socket.recv(
+                1, socket.MSG_PEEK | socket.MSG_DONTWAIT
+            )
         except BlockingIOError:
             return False
         except OSError:
             return True
         finally:
-            plain.detach()
+            raw_socket.detach()
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/connections.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/connections.py
@@ -1,10 +1,10 @@
-"""Connections to backend servers, kept open between requests.
+"""A pool of keep-alive connections to backend servers.
 
-One connection carries one request at a time.  It is used again only where
-the answer before was complete, nothing came after it, and the server has
-not said how long it keeps idle ones open or that time is not near: a request
-sent on a connection that the server closes at the same moment may or may not
-have run.
+A connection carries one request at a time.  It is reused only if the
+previous answer was complete, no bytes came after it, and it has not been
+idle for too long: the limit is a part of the idle timeout that the server
+announced, or a default if it announced none.  A request sent on a connection
+that the server closes at the same moment may or may not have run.
 """
 
 import collections
@@ -16,14 +16,15 @@
 
 from .. import connection
 
-# The share of the server's idle time-out that a connection is used within.
-IDLE_PART = 0.5
-# Where the server names no time-out, a connection is idle this long at most.
-IDLE_SECONDS = 2.0
+# The fraction of the server's idle timeout within which a connection is
+# reused.
+IDLE_TIMEOUT_FRACTION = 0.5
+# The idle limit for a server that announces no timeout.
+DEFAULT_IDLE_SECONDS = 2.0
 RECEIVE_BYTES = 64 * 1024
-MOST_IDLE = 64
+MAX_IDLE_PER_SERVER = 64
 
-_TIMEOUT = re.compile(r"timeout\s*=\s*(\d+)")
+_KEEP_ALIVE_TIMEOUT = re.compile(r"timeout\s*=\s*(\d+)")
 
 FAILURES = (OSError, gevent.Timeout)
 
@@ -40,15 +41,15 @@
         self.used = False
 
     def close(self):
-        """Close it; the server takes that for the wish to stop."""
+        """Close it; the server then stops working on its request."""
         try:
             self.sock.close()
         except OSError:
-            # It is gone either way.
+            # The connection is unusable either way.
             return
 
-    def is_quiet(self):
-        """Tell whether it is open and nothing came that nobody asked for."""
+    def is_reusable(self):
+        """Return whether it is open and has no unsolicited data to read."""
         self.sock.settimeout(0.0)
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -62,21 +63,21 @@
 
 
 class Connections:
-    """The idle connections to every server, newest first."""
+    """The idle connections per server, most recently used first."""
 
     def __init__(self, connect_seconds):
         self._connect_seconds = connect_seconds
         self._idle = collections.defaultdict(list)
 
     def open(self, address):
-        """Return a connection to ``host:port``, kept or new.
+        """Return an idle or new connection to ``address`` (``host:port``).
 
-        Raises ``OSError`` or ``gevent.Timeout`` where none comes about.
+        Raises ``OSError`` or ``gevent.Timeout`` if none can be opened.
         """
-        held = self._idle.get(address)
-        while held:
-            conn = held.pop()
-            if time.monotonic() < conn.idle_until and conn.is_quiet():
+        idle = self._idle.get(address)
+        while idle:
+            conn = idle.pop()
+            if time.monotonic() < conn.idle_until and conn.is_reusable():
                 conn.used = True
                 return conn
             conn.close()
@@ -86,28 +87,35 @@
         return Connection(sock, address)
 
     def keep(self, conn, answer):
-        """Keep a connection whose answer was complete, where it may be."""
-        held = self._idle[conn.address]
+        """Keep a connection for reuse, or close it if that is not allowed.
+
+        ``answer`` is the last answer on it, which must be complete.
+        """
+        idle = self._idle[conn.address]
         if "close" in answer.get("connection").lower() or (
-            len(held) >= MOST_IDLE
+            len(idle) >= MAX_IDLE_PER_SERVER
         ):
             conn.close()
             return
-        found = _TIMEOUT.search(answer.get("keep-alive").lower())
-        seconds = int(found[1]) * IDLE_PART if found else IDLE_SECONDS
+        match = _KEEP_ALIVE_TIMEOUT.search(answer.get("keep-alive").lower())
+        seconds = (
+            int(match[1]) * IDLE_TIMEOUT_FRACTION
+            if match
+            else DEFAULT_IDLE_SECONDS
+        )
         conn.idle_until = time.monotonic() + seconds
-        held.append(conn)
+        idle.append(conn)
 
     def forget(self, url):
-        """Close the idle connections to a server that is gone."""
-        self._drop(address_of(url))
+        """Close the idle connections to a server that has ended."""
+        self._close_idle(address_of(url))
 
     def close(self):
         """Close all idle connections."""
         for address in list(self._idle):
-            self._drop(address)
+            self._close_idle(address)
 
-    def _drop(self, address):
+    def _close_idle(self, address):
         for conn in self._idle.pop(address, ()):
             conn.close()
 
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/dialect.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/dialect.py
@@ -1,4 +1,4 @@
-"""What one platform's callers and servers say about a request."""
+"""The interface to the request headers that one platform uses."""
 
 import abc
 
@@ -6,12 +6,13 @@
 
 
 class Incoming(msgspec.Struct):
-    """A caller's request as it came in, its body still unread.
+    """The head of a caller's request; its body has not been read.
 
-    ``headers`` are those to pass on, without the ones that concern only one
-    connection or that the node sets itself.  ``key`` is the caller's key,
-    ``timeout`` what it allows in seconds.  ``parts`` are those of the
-    prompt.  ``last_event_id`` is where a resumed stream goes on.
+    ``headers`` are those to forward, without hop-by-hop headers and those
+    that the instance sets itself.  ``key`` is the caller's API key and
+    ``timeout`` the time that the caller allows, in seconds.  ``parts`` are
+    the parts of the prompt.  ``last_event_id`` is the id of the event after
+    which a resumed stream continues, or ''.
     """
 
     request_id: str
@@ -28,11 +29,12 @@
     last_event_id: str = ""
 
 
-class Attempt(msgspec.Struct):
-    """What the node says to a server beside the caller's own headers.
+class AttemptInfo(msgspec.Struct):
+    """What a server is told about an attempt, besides the caller's headers.
 
-    ``remaining`` is what is left of the request's time, in seconds;
-    ``last_event_id`` the last event that the caller has, or ''.
+    ``remaining`` is the time until the request's deadline, in seconds.
+    ``last_event_id`` is the id of the last event that the caller has, or ''.
+    ``generates`` is true if the request has a prompt.
     """
 
     backend_server: str
@@ -44,30 +46,30 @@
 
 
 class Dialect(abc.ABC):
-    """Reads and writes the headers of one platform."""
+    """Reads and writes the request headers of one platform."""
 
     @abc.abstractmethod
     def read(self, head):
         """Return the :class:`Incoming` of a ``http_server.Head``.
 
-        Raises ``wsgi.Problem`` where the head cannot be understood.
+        Raises ``wsgi.Problem`` if the head is malformed.
         """
 
     @abc.abstractmethod
     def attempt_headers(self, attempt):
-        """Return the headers by which a server learns of an attempt."""
+        """Return the headers that describe an :class:`AttemptInfo`."""
 
     @abc.abstractmethod
     def not_executed(self, answer):
-        """Tell whether a server says that it did not run the request."""
+        """Return whether a server answers that it did not run the request."""
 
     @abc.abstractmethod
     def is_other_server(self, answer):
-        """Tell whether another server than the one meant answered."""
+        """Return whether another server than the intended one answered."""
 
     @abc.abstractmethod
     def request_id_of(self, answer):
-        """Return the id of the request that an answer is for, or ''."""
+        """Return the id of the request that an answer belongs to, or ''."""
 
     @abc.abstractmethod
     def problem_headers(self, request_id, problem):
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/events_splitter.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/events_splitter.py
@@ -1,59 +1,63 @@
-"""Cuts a stream into whole events.
+"""Splits a byte stream into whole server-sent events.
 
-The format is that of server-sent events (WHATWG HTML, section 9.2): an
-event ends with an empty line, and a line ``id: N`` names it.  Only whole
-events are passed on, so that a server which breaks off in the middle of one
-leaves nothing half said, and another can go on after the last.
+The format is that of WHATWG HTML, section 9.2: an event ends with an empty
+line, and a line ``id: N`` sets its id.  Only whole events are relayed: if a
+server fails in the middle of one, the caller has no partial event, and
+another server can resume the stream after the last whole one.
 """
 
 import re
 
-_ENDS = (b"\n\n", b"\r\n\r\n", b"\r\r")
-_ID = re.compile(rb"(?:^|[\r\n])id:[ ]?([^\r\n]*)")
-# A server that never ends an event would have all of it gathered here.
-MOST_BYTES = 1024 * 1024
+_EVENT_ENDS = (b"\n\n", b"\r\n\r\n", b"\r\r")
+_ID_LINE = re.compile(rb"(?:^|[\r\n])id:[ ]?([^\r\n]*)")
+# Limits the memory used for a server that never ends an event.
+MAX_EVENT_BYTES = 1024 * 1024
 
 
 class EventTooLong(ValueError):
-    """A server sent more than is gathered of one event."""
+    """A server sent an event that is longer than the limit."""
 
 
 class EventsSplitter:
-    """Gathers the bytes of one server and gives them out as whole events.
+    """Buffers the bytes of one server and returns them as whole events.
 
-    ``last_id`` names the event after which the server goes on.
+    ``last_id`` is the id of the last whole event; at the start, of the event
+    after which the server resumes the stream.
     """
 
-    __slots__ = ("_rest", "last_id")
+    __slots__ = ("_incomplete", "last_id")
 
     def __init__(self, last_id=""):
-        self._rest = b""
+        self._incomplete = b""
         self.last_id = last_id
 
     def feed(self, data):
-        """Return the events that ``data`` completes, as one piece of bytes."""
-        data = self._rest + data
-        end = _last_end(data)
-        self._rest = data[end:]
-        if len(self._rest) > MOST_BYTES:
-            raise EventTooLong("an event has no end")
-        whole = data[:end]
-        ids = _ID.findall(whole)
+        """Return the events that ``data`` completes, concatenated.
+
+        Raises :class:`EventTooLong` if the incomplete event is too long.
+        """
+        data = self._incomplete + data
+        end = _end_of_last_event(data)
+        self._incomplete = data[end:]
+        if len(self._incomplete) > MAX_EVENT_BYTES:
+            raise EventTooLong("an event is longer than the limit")
+        events = data[:end]
+        ids = _ID_LINE.findall(events)
         if ids:
             self.last_id = ids[-1].decode("latin-1")
-        return whole
+        return events
 
     @property
     def pending(self):
-        """Tell whether part of an event has come."""
-        return bool(self._rest)
+        """Return whether part of an event has been received."""
+        return bool(self._incomplete)
 
 
-def _last_end(data):
-    """Return where the last whole event in ``data`` ends, zero for none."""
+def _end_of_last_event(data):
+    """Return where the last whole event in ``data`` ends, 0 without one."""
     end = 0
-    for mark in _ENDS:
-        found = data.rfind(mark)
+    for terminator in _EVENT_ENDS:
+        found = data.rfind(terminator)
         if found >= 0:
-            end = max(end, found + len(mark))
+            end = max(end, found + len(terminator))
     return end
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/exchange.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/exchange.py
@@ -1,4 +1,4 @@
-"""The mailbox of effects for the greenlet that serves one request."""
+"""Delivers the reducer's effects to the greenlet that serves a request."""
 
 import gevent
 from gevent import queue
@@ -7,7 +7,7 @@
 
 
 class CutOff(wsgi.Aborted):
-    """The instance ends now; ``problem`` is what the caller is told."""
+    """The request is ended at once; the caller gets ``problem``."""
 
     def __init__(self, problem):
         super().__init__(problem.message)
@@ -15,9 +15,10 @@
 
 
 class Exchange:
-    """Links one request with the reducer; see ``host.Host.attach``.
+    """The mailbox of one request; see ``host.Host.attach``.
 
-    The greenlet that serves the request owns both of its sides.
+    A single greenlet both works on the request and writes to the caller, so
+    the exchange has only one side, ``forwarder``.
     """
 
     __slots__ = ("request_id", "sides", "_mailbox", "_greenlet")
@@ -29,11 +30,11 @@
         self._greenlet = gevent.getcurrent()
 
     def put(self, effect):
-        """Hand an effect to the greenlet."""
+        """Put an effect into the mailbox."""
         self._mailbox.put(effect)
 
     def fault(self):
-        """Tell the greenlet that no answer will come."""
+        """Tell the greenlet that the reducer failed on this request."""
         self._mailbox.put(None)
 
     def get(self):
@@ -41,8 +42,8 @@
         return self._mailbox.get()
 
     def abandon(self):
-        """The greenlet itself said so and needs no telling."""
+        """Do nothing: the greenlet itself reported that the caller left."""
 
     def end_with(self, problem):
-        """Tell the caller ``problem`` now, whatever is going on."""
+        """Interrupt the greenlet so that the caller gets ``problem``."""
         self._greenlet.kill(CutOff(problem), block=False)
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/forwarder.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/forwarder.py
@@ -1,13 +1,13 @@
 """Serves one request of a declared route, from its head to its answer.
 
-One greenlet does it all: it asks the reducer where the request may go, sends
-it there, and passes the answer on.  Three things can end the wait at any
-moment: the deadline of the route, a caller that leaves, and the end of the
+A single greenlet asks the reducer which server to use, sends the request
+there and relays the answer.  Three things can end the wait at any moment:
+the deadline of the route, a caller that disconnects, and the shutdown of the
 instance.
 
-A server that falls silent keeps its attempt.  Beside it another server may be
-asked; whichever speaks first has the request, and the other is let go then
-and no sooner.
+An attempt whose server falls silent is kept, and a hedged attempt at another
+server may run beside it.  The first of them to produce output serves the
+request; the others are closed then and no sooner.
 """
 
 import contextlib
@@ -30,8 +30,8 @@
 from . import readers as readers_module
 from . import upstream as upstream_module
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1) or that
-# the server of the caller writes itself.
+# Headers that apply to a single connection (RFC 9110, section 7.6.1) or that
+# this instance's HTTP server writes itself.
 HOP_HEADERS = frozenset(
     (
         "connection",
@@ -48,7 +48,8 @@
 )
 
 
-# How an attempt fails; the reducer decides what becomes of the request.
+# Errors that end one attempt; the reducer decides whether the request is
+# retried.
 FAILURES = (
     upstream_module.NotSent,
     upstream_module.Broken,
@@ -59,21 +60,21 @@
 
 
 class Forwarder:
-    """One request and its answer."""
+    """Forwards one request and relays its answer."""
 
     def __init__(self, host, connections, dialect, incoming, body, sock):
         self._host = host
         self._dialect = dialect
         self._incoming = incoming
-        self._sending = attempt_module.Sending(
+        self._context = attempt_module.RequestContext(
             host, connections, dialect, incoming, body
         )
         self._sock = sock
         self._exchange = exchange_module.Exchange(incoming.request_id)
         self._attempt = None
-        self._kept = None
+        self._fallback_output = None
         self._deadline = 0.0
-        self._events_passed = 0
+        self._events_relayed = 0
         self._last_id = ""
         self._stack = contextlib.ExitStack()
         self._open = True
@@ -81,12 +82,12 @@
     # -- the caller's side ------------------------------------------------
 
     def serve(self, start_response):
-        """Return the reply's iterable."""
+        """Serve the request; return the WSGI iterable of the response."""
         try:
             self._begin()
             output = self._next_output()
         except BaseException as exc:
-            problem = self._ended_by(exc)
+            problem = self._problem_after(exc)
             self._close()
             if problem is None:
                 raise
@@ -101,12 +102,15 @@
         if output.events is None:
             headers.append(("Content-Length", str(len(output.body))))
             start_response(status, headers)
-            return _Written(output.body, self._close)
+            return _WholeBody(output.body, self._close)
         start_response(status, headers)
         return self._stream(output.events)
 
     def _begin(self):
-        """Submit the request; it counts from the last byte of its head."""
+        """Submit the request to the reducer and start the deadline timer.
+
+        The deadline counts from the last byte of the request's head.
+        """
         incoming = self._incoming
         host = self._host
         host.attach(self._exchange)
@@ -125,17 +129,17 @@
                 incoming.max_output_tokens,
                 random.random(),
                 fingerprints.of_content(
-                    incoming.method, incoming.target, self._sending.body
+                    incoming.method, incoming.target, self._context.body
                 ),
             )
         )
-        self._limit()
+        self._start_deadline_timer()
 
-    def _limit(self):
-        """End the wait at the deadline of the request, once it is known.
+    def _start_deadline_timer(self):
+        """Start the timer of the request's deadline, once that is known.
 
-        A request that came before the instance had its state has none yet;
-        the instance itself bounds how long it waits so.
+        A request that arrived before the instance had recovered its state
+        has no deadline yet; the instance limits that wait separately.
         """
         life = self._host.life(self._incoming.request_id)
         if life is None or self._deadline:
@@ -153,10 +157,10 @@
         body = wsgi.error_body(problem)
         return wsgi.reply(start_response, problem.status, body, headers)
 
-    def _ended_by(self, exc):
-        """Return what the caller is told after ``exc``, or ``None``.
+    def _problem_after(self, exc):
+        """Return the problem to answer with after ``exc``, or ``None``.
 
-        The reducer learns of it first, since it knows what may have run.
+        The reducer is notified first, since it knows what may have run.
         """
         request_id = self._incoming.request_id
         if isinstance(exc, wsgi.Problem):
@@ -164,9 +168,9 @@
         if isinstance(exc, exchange_module.CutOff):
             return exc.problem
         if isinstance(exc, _Overdue):
-            return self._overdue()
+            return self._report_overdue()
         if isinstance(exc, caller_watch.CallerLeft):
-            self._caller_left()
+            self._report_caller_left()
             return problems.caller_gone(request_id)
         if isinstance(exc, gevent.GreenletExit):
             return None
@@ -178,58 +182,60 @@
         self._host.submit(events.Overdue(request_id))
         return problems.internal_problem(request_id)
 
-    def _overdue(self):
+    def _report_overdue(self):
         life = self._host.life(self._incoming.request_id)
         begun = life is not None and life.begun > 0
         self._host.submit(events.Overdue(self._incoming.request_id))
         return problems.deadline(self._incoming.request_id, begun)
 
-    def _caller_left(self):
+    def _report_caller_left(self):
         self._host.submit(events.CallerGone(self._incoming.request_id))
 
     def _close(self):
         if self._open:
             self._open = False
             self._stack.close()
-            self._let_go()
+            self._close_attempt()
 
     # -- attempts ---------------------------------------------------------
 
     def _next_output(self):
-        """Return the next output, of another server where one failed.
+        """Return the next output, retrying at another server on failure.
 
-        Where a server answered with a failure of its own and there is no
-        going elsewhere, that answer is the caller's.
+        If a server answered with an error status and no other server can be
+        tried, the caller gets that answer.
         """
         while True:
             if self._attempt is None and not self._next_attempt():
-                return self._kept
-            output = self._read()
+                return self._fallback_output
+            output = self._read_output()
             if output is not None:
-                return self._accepted(output)
+                return self._accept(output)
 
     def _next_attempt(self):
-        """Wait for where to go; return false where the caller gets ``_kept``.
+        """Wait for a dispatch and start its attempt.
 
-        A refusal is raised as its problem.  In the middle of a stream a kept
-        answer is of no use.
+        Returns false if the caller is to get ``_fallback_output``.  Any
+        other refusal is raised as its problem; in the middle of a stream a
+        stored answer cannot be used.
         """
-        effect = self._next_item(readers_module.Heard, effects.Withdraw)
+        effect = self._next_item(readers_module.ReadResult, effects.Withdraw)
         if isinstance(effect, effects.Dispatch):
-            self._limit()
-            self._attempt = self._attempt_of(effect, effect.patience.first)
+            self._start_deadline_timer()
+            self._attempt = self._new_attempt(effect, effect.patience.first)
             return True
         if isinstance(effect, effects.Refuse) and (
-            self._kept is not None and not self._events_passed
+            self._fallback_output is not None and not self._events_relayed
         ):
             return False
         raise self._problem_of(effect)
 
-    def _next_item(self, *out_of_date):
-        """Return what is next in the mailbox, but for what is out of date.
+    def _next_item(self, *ignored_kinds):
+        """Return the next item of the mailbox that is still relevant.
 
-        Attempts may have been let go since the reducer or a reader put in
-        something about them.
+        Skips the types ``ignored_kinds`` and dispatches that no longer stand:
+        an attempt may have been closed since the reducer or a reader put an
+        item about it into the mailbox.
         """
         while True:
             item = self._exchange.get()
@@ -237,7 +243,7 @@
                 not self._host.is_current(item)
             ):
                 continue
-            if not isinstance(item, out_of_date):
+            if not isinstance(item, ignored_kinds):
                 return item
 
     def _problem_of(self, effect):
@@ -245,110 +251,111 @@
             return problems.problem_of(effect)
         return problems.internal_problem(self._incoming.request_id)
 
-    def _attempt_of(self, dispatch, patience=None):
+    def _new_attempt(self, dispatch, silence_timeout=None):
         return attempt_module.Attempt(
-            self._sending,
+            self._context,
             dispatch,
             self._deadline,
-            patience,
+            silence_timeout,
             self._last_id,
-            resuming=self._events_passed > 0,
+            resuming=self._events_relayed > 0,
         )
 
-    def _read(self):
-        """Return an output, ``None`` where the attempt failed.
+    def _read_output(self):
+        """Return the attempt's next output, or ``None`` if it failed.
 
-        The reducer has been told by then how it failed.
+        A failure has then been reported to the reducer.
         """
         try:
-            return self._attempt.next()
+            return self._attempt.next_output()
         except upstream_module.Silent:
-            return self._heard_first(self._attempt)
+            return self._read_first_output(self._attempt)
         except attempt_module.Superseded:
-            # ``CutOff`` is on its way and ends this wait.
+            # The reducer has ended the request: ``CutOff`` is about to be
+            # raised in this greenlet and ends the wait below.
             raise self._problem_of(
-                self._next_item(readers_module.Heard, effects.Withdraw)
+                self._next_item(readers_module.ReadResult, effects.Withdraw)
             )
         except FAILURES as exc:
-            self._failed(self._attempt, exc)
+            self._report_failure(self._attempt, exc)
             self._attempt = None
         return None
 
-    def _heard_first(self, silent):
-        """Wait for a silent server, and for another one beside it.
+    def _read_first_output(self, silent_attempt):
+        """Read a silent attempt and its hedged attempts concurrently.
 
-        Returns the first output of either, or ``None`` where both failed.
+        Returns the first output of any, or ``None`` if all failed.
         """
-        silent.be_patient(None)
-        waited_for = {silent.number: silent}
-        with readers_module.Readers(self._exchange) as readers:
-            readers.read(silent)
-            self._submit(events.AttemptSilent, silent)
-            while waited_for:
+        silent_attempt.set_silence_timeout(None)
+        pending = {silent_attempt.number: silent_attempt}
+        with readers_module.AttemptReaders(self._exchange) as readers:
+            readers.read(silent_attempt)
+            self._submit(events.AttemptSilent, silent_attempt)
+            while pending:
                 item = self._next_item()
-                if isinstance(item, readers_module.Heard):
-                    output = self._heard(item, waited_for)
+                if isinstance(item, readers_module.ReadResult):
+                    output = self._output_of(item, pending)
                     if output is not None:
                         return output
                 elif isinstance(item, effects.Dispatch):
-                    self._hedge(item, waited_for, readers)
+                    self._start_hedge(item, pending, readers)
                 elif isinstance(item, effects.Withdraw):
-                    self._withdraw(item, waited_for)
+                    self._withdraw(item, pending)
                 else:
                     raise self._problem_of(item)
         self._attempt = None
         return None
 
-    def _hedge(self, dispatch, waited_for, readers):
-        """Ask another server, beside the silent one."""
-        attempt = self._attempt_of(dispatch)
-        waited_for[attempt.number] = attempt
+    def _start_hedge(self, dispatch, pending, readers):
+        """Start a hedged attempt at another server."""
+        attempt = self._new_attempt(dispatch)
+        pending[attempt.number] = attempt
         self._stack.callback(attempt.close)
         readers.read(attempt)
 
-    def _withdraw(self, withdraw, waited_for):
-        attempt = waited_for.pop(withdraw.attempt, None)
+    def _withdraw(self, withdraw, pending):
+        attempt = pending.pop(withdraw.attempt, None)
         if attempt is not None:
             attempt.close()
 
-    def _heard(self, heard, waited_for):
-        """Return the output of an attempt; the others are let go.
+    def _output_of(self, result, pending):
+        """Return the output in ``result`` and close the other attempts.
 
-        ``None`` where it failed, or had been let go before.
+        Returns ``None`` if the attempt failed or had been closed before.
         """
-        attempt = heard.attempt
-        if waited_for.pop(attempt.number, None) is None:
+        attempt = result.attempt
+        if pending.pop(attempt.number, None) is None:
             return None
-        if isinstance(heard.error, attempt_module.Superseded):
+        if isinstance(result.error, attempt_module.Superseded):
             return None
-        if heard.error is not None:
-            if not isinstance(heard.error, FAILURES):
-                raise heard.error
-            self._failed(attempt, heard.error)
+        if result.error is not None:
+            if not isinstance(result.error, FAILURES):
+                raise result.error
+            self._report_failure(attempt, result.error)
             return None
         self._submit(events.AttemptSpoke, attempt)
-        for other in waited_for.values():
+        for other in pending.values():
             other.close()
         self._attempt = attempt
-        return heard.output
+        return result.output
 
-    def _accepted(self, output):
-        """Take an output as the caller's."""
+    def _accept(self, output):
+        """Record an output that is about to be relayed, and return it."""
         attempt = self._attempt
-        if not attempt.spoke and output.events != b"":
-            # Of each attempt: this engine has read the prompt.
-            attempt.spoke = True
+        if not attempt.has_output and output.events != b"":
+            # Reported once per attempt: its engine has read the prompt.
+            attempt.has_output = True
             self._submit(events.FirstOutput, attempt)
         if output.events is None:
-            self._finished(0)
+            self._report_finished(0)
         elif output.events:
-            self._events_passed += 1
+            self._events_relayed += 1
             self._last_id = attempt.last_id
-            attempt.be_patient(attempt.dispatch.patience.between)
+            attempt.set_silence_timeout(attempt.dispatch.patience.between)
         return output
 
-    def _failed(self, attempt, exc):
-        """Tell the reducer how an attempt failed, and let go of it."""
+    def _report_failure(self, attempt, exc):
+        """Close an attempt and report to the reducer how it failed."""
         attempt.close()
         if isinstance(exc, upstream_module.NotSent):
             self._submit(
@@ -361,18 +368,18 @@
                 attempt,
                 server_said=True,
                 detail=str(exc),
-                gone=exc.gone,
+                gone=exc.server_replaced,
             )
             return
         answered = 0
         if isinstance(exc, attempt_module.ServerFailed):
             self._submit(events.FirstOutput, attempt)
-            self._kept = exc.output
+            self._fallback_output = exc.output
             answered = exc.output.answer.status
         self._submit(
             events.AttemptFailed,
             attempt,
-            relayed=self._events_passed,
+            relayed=self._events_relayed,
             detail=str(exc),
             answered=answered,
             closed=getattr(exc, "closed", False),
@@ -382,7 +389,7 @@
         request_id = self._incoming.request_id
         self._host.submit(kind(request_id, attempt.number, **fields))
 
-    def _finished(self, output_tokens):
+    def _report_finished(self, output_tokens):
         self._submit(
             events.AnswerFinished,
             self._attempt,
@@ -390,7 +397,7 @@
             output_tokens=output_tokens,
         )
 
-    def _let_go(self):
+    def _close_attempt(self):
         attempt, self._attempt = self._attempt, None
         if attempt is not None:
             attempt.close()
@@ -398,28 +405,32 @@
     # -- streams ----------------------------------------------------------
 
     def _stream(self, data):
-        """Pass on events until the proper end, over several servers if so.
+        """Relay events until the stream ends, over several servers if needed.
 
-        An answer that cannot be finished must not look finished: the
-        connection is closed without the end of the chunked body.
+        A stream that cannot be completed must not look complete to the
+        caller: its connection is closed without the terminating chunk.
         """
         try:
             while data:
                 yield data
                 data = self._next_output().events
-            self._finished(self._events_passed)
+            self._report_finished(self._events_relayed)
         except GeneratorExit:
-            self._caller_left()
+            self._report_caller_left()
             raise
         except BaseException as exc:
-            self._ended_by(exc)
+            self._problem_after(exc)
             raise wsgi.Aborted() from exc
         finally:
             self._close()
 
 
-class _Written:
-    """A whole body; the request is in flight until it has been written."""
+class _WholeBody:
+    """The WSGI iterable of a whole body.
+
+    The request stays in flight until the body has been written and the server
+    calls ``close``.
+    """
 
     __slots__ = ("_body", "close")
 
@@ -432,4 +443,4 @@
 
 
 class _Overdue(wsgi.Aborted):
-    """The deadline passed."""
+    """The deadline of the request passed."""
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/metrics_app.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/metrics_app.py
@@ -1,4 +1,4 @@
-"""Counters and histograms at an address of their own."""
+"""A separate listener for counters and histograms."""
 
 from .. import wsgi
 from ..listeners import read_only
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/readers.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/readers.py
@@ -1,9 +1,10 @@
-"""Reads attempts beside the greenlet that serves their request.
+"""Reads several attempts of one request concurrently.
 
-Needed only where a server is silent: its answer is waited for, and another
-server may have been asked.  What comes of either is put into the mailbox of
-the request, in which the reducer's effects arrive too, so that whoever serves
-the request sees all of it in one order.
+Used only once a server has been silent for longer than its timeout: its
+answer is still read, and a hedged attempt at another server may run at the
+same time.  The results go into the mailbox of the request, which also
+receives the reducer's effects, so the greenlet that serves the request
+processes results and effects in a single order.
 """
 
 import contextlib
@@ -12,28 +13,28 @@
 import msgspec
 
 
-class Heard(msgspec.Struct):
-    """What came of one attempt: an ``output``, or ``error``."""
+class ReadResult(msgspec.Struct):
+    """The result of reading one attempt: an ``output`` or an ``error``."""
 
     attempt: object
     output: object = None
     error: Exception | None = None
 
 
-class Readers(contextlib.ExitStack):
-    """One greenlet for each attempt that is read; all end with it."""
+class AttemptReaders(contextlib.ExitStack):
+    """Runs one reading greenlet per attempt; kills them all on exit."""
 
     def __init__(self, exchange):
         super().__init__()
         self._exchange = exchange
 
     def read(self, attempt):
-        """Have the next output of ``attempt`` put into the mailbox."""
+        """Start a greenlet that puts the next output into the mailbox."""
         greenlet = gevent.spawn(self._read, attempt)
         self.callback(greenlet.kill, block=False)
 
     def _read(self, attempt):
         try:
-            self._exchange.put(Heard(attempt, attempt.next()))
+            self._exchange.put(ReadResult(attempt, attempt.next_output()))
         except Exception as exc:
-            self._exchange.put(Heard(attempt, error=exc))
+            self._exchange.put(ReadResult(attempt, error=exc))
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/upstream.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/upstream.py
@@ -1,8 +1,8 @@
-"""One attempt at one backend server: the request out, its answer in.
+"""Sends one request to one backend server and reads its answer.
 
-What must be right here is whether a request *may have run*.  Before its
-first byte is sent it has not, nor where the server says so itself.  After
-anything else that goes wrong, it may have.
+The errors raised here must tell reliably whether the request *may have run*.
+It has not run if no byte of it was sent, or if the server says that it did
+not run it.  After any other failure it may have run.
 """
 
 import errno
@@ -13,21 +13,21 @@
 from . import connections as connections_module
 
 FAILURES = (OSError, gevent.Timeout, answer_parser.ParseError)
-# Answers to earlier requests that a server may send late on one connection.
-MOST_STALE = 4
+# Late answers to earlier requests that are skipped on one connection.
+MAX_STALE_ANSWERS = 4
 # Real answers are below 1 MB.
-MOST_BODY_BYTES = 64 * 1024 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 class NotSent(Exception):
-    """No connection came about; nothing was sent."""
+    """No connection could be opened; nothing was sent."""
 
 
 class Broken(Exception):
-    """The exchange broke off after the server may have begun.
+    """The exchange failed after the server may have begun the request.
 
-    ``closed`` tells that the connection ended, as it does where the server
-    ends.
+    ``closed`` is true if the connection ended, as it does when the server's
+    process ends.
     """
 
     def __init__(self, text, closed=False):
@@ -36,11 +36,11 @@
 
 
 class Silent(Exception):
-    """No byte came for as long as was to be waited; nothing is lost."""
+    """The silence timeout passed without a byte; the call can be repeated."""
 
 
-class Upstream:
-    """One request on its way to one server, and its answer."""
+class BackendRequest:
+    """One request to one server, and the answer to it."""
 
     def __init__(self, connections, address, dialect, request_id):
         self._connections = connections
@@ -53,22 +53,23 @@
         self.answer = None
 
     def connect(self):
-        """Get a connection, or raise :class:`NotSent`."""
+        """Open or reuse a connection; raises :class:`NotSent` on failure."""
         try:
             self._conn = self._connections.open(self._address)
         except connections_module.FAILURES as exc:
             raise NotSent(f"{type(exc).__name__}: {exc}")
 
-    def wait_at_most(self, seconds):
-        """Raise :class:`Silent` after so long without a byte either way.
+    def set_silence_timeout(self, seconds):
+        """Set after how many seconds without a byte I/O raises ``Silent``.
 
-        Whatever raised it may then be called again.  ``None`` waits for as
-        long as the caller does.
+        The timeout applies to both directions, and the method that raised
+        :class:`Silent` may be called again.  ``None`` sets no timeout, so
+        that only the caller's deadline bounds the wait.
         """
         self._conn.sock.settimeout(seconds)
 
     def prepare(self, method, target, headers, body):
-        """Put together what :meth:`send` sends."""
+        """Build the bytes of the request for :meth:`send`."""
         lines = [f"{method} {target} HTTP/1.1"]
         lines.extend(f"{name}: {value}" for name, value in headers)
         if body or method not in ("GET", "HEAD", "DELETE"):
@@ -77,66 +78,68 @@
         self._unsent = memoryview(head + body)
 
     def send(self):
-        """Send what is left to be sent; the server may begin from here on."""
+        """Send the unsent bytes; from then on the server may have begun."""
         try:
             while self._unsent:
                 sent = self._conn.sock.send(self._unsent)
                 self._unsent = self._unsent[sent:]
         except FAILURES as exc:
             _raise_if_silent("sending", exc)
-            # The server may have answered before it had all, and closed.
+            # The server may have answered early, before it had read the
+            # whole request, and closed the connection.
             self._unsent = memoryview(b"")
             if not self._answered_early():
                 raise _broken("sending", exc)
 
     def _answered_early(self):
         try:
-            self._feed()
+            self._receive()
         except (Broken, Silent, *FAILURES):
             return False
         return bool(self._parser.answers)
 
-    def head(self):
-        """Wait for the head of the answer to this request; return it."""
-        stale = 0
+    def read_head(self):
+        """Return the answer to this request once its head has come."""
+        skipped = 0
         while True:
-            self._until(lambda answers: answers and answers[0].head_done)
+            self._read_until(lambda answers: answers and answers[0].head_done)
             answer = self._parser.answers[0]
-            named = self._dialect.request_id_of(answer)
-            if not named or named == self._request_id:
+            answered_id = self._dialect.request_id_of(answer)
+            if not answered_id or answered_id == self._request_id:
                 self.answer = answer
                 return answer
-            # It answers an earlier request, whose caller has its answer.
-            stale += 1
-            if stale > MOST_STALE:
-                raise Broken("only answers to other requests came")
-            self._until(lambda answers: answers[0].complete)
+            # A late answer to an earlier request on this connection, whose
+            # caller has been answered already.
+            skipped += 1
+            if skipped > MAX_STALE_ANSWERS:
+                raise Broken("all answers received were for other requests")
+            self._read_until(lambda answers: answers[0].complete)
             self._parser.pop()
 
-    def whole_body(self):
-        """Return the whole body; raises :class:`Broken` where it is cut."""
+    def read_whole_body(self):
+        """Return the whole body; raises :class:`Broken` if it is truncated."""
         answer = self.answer
         while not answer.complete:
-            if len(answer.body) > MOST_BODY_BYTES:
-                raise Broken("the body is too long")
-            self._feed()
+            if len(answer.body) > MAX_BODY_BYTES:
+                raise Broken("the body of the answer is too long")
+            self._receive()
         return answer.take()
 
-    def more(self):
-        """Return the next bytes of the body, ``b""`` at its proper end."""
+    def read_body_part(self):
+        """Return the next bytes of the body, ``b""`` once it is complete."""
         answer = self.answer
         while not answer.body:
             if answer.complete:
                 return b""
-            self._feed()
+            self._receive()
         return answer.take()
 
-    def _until(self, holds):
-        while not holds(self._parser.answers):
-            self._feed()
+    def _read_until(self, condition):
+        while not condition(self._parser.answers):
+            self._receive()
 
-    def _feed(self):
-        """Read once; an end of the connection that cuts an answer raises."""
+    def _receive(self):
+        """Receive and parse once; raises if the answer is truncated."""
         data = None
         try:
             data = self._conn.sock.recv(connections_module.RECEIVE_BYTES)
@@ -144,7 +147,8 @@
         except FAILURES as exc:
             _raise_if_silent("reading", exc)
             if self.answer is not None and self.answer.complete:
-                # What came after the answer is no answer to anything.
+                # Bytes after the complete answer: ignore them, and do not
+                # reuse the connection.
                 self._conn.idle_until = 0.0
                 return
             raise _broken("reading", exc, at_end=data == b"")
@@ -152,12 +156,17 @@
             return
         first = self._parser.answers[0] if self._parser.answers else None
         if first is None or not first.complete:
-            raise Broken("the server closed the connection", closed=True)
+            raise Broken(
+                "the server closed the connection in the middle of an answer",
+                closed=True,
+            )
 
     def release(self):
-        """End the exchange: keep the connection or close it.
+        """Return the connection to the pool, or close it.
 
-        Closing it tells the server to stop where the answer was not whole.
+        It is closed unless the answer is complete and the connection can be
+        reused.  Closing it before the answer is complete tells the server to
+        stop.
         """
         conn, self._conn = self._conn, None
         if conn is None:
@@ -176,13 +185,17 @@
             conn.close()
 
 
-def _raise_if_silent(doing, exc):
-    """Tell a wait that is over from a connection that the kernel gave up."""
+def _raise_if_silent(operation, exc):
+    """Raise ``Silent`` for a timeout of the socket.
+
+    ``ETIMEDOUT`` is not one: with it the kernel reports that the connection
+    is dead.
+    """
     if isinstance(exc, TimeoutError) and exc.errno != errno.ETIMEDOUT:
-        raise Silent(doing) from exc
+        raise Silent(operation) from exc
 
 
-def _broken(doing, exc, at_end=False):
-    """Return how the exchange broke off, by a failure of the connection."""
+def _broken(operation, exc, at_end=False):
+    """Return a :class:`Broken` that describes a connection failure."""
     closed = at_end or isinstance(exc, ConnectionError)
-    return Broken(f"{doing}: {type(exc).__name__}: {exc}", closed)
+    return Broken(f"{operation}: {type(exc).__name__}: {exc}", closed)
