--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/app.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/app.py
@@ -50,7 +50,7 @@
             503,
             "draining",
             "This instance is shutting down.",
-            "send it again; the load balancer will choose another instance",
+            "send it again; the load balancer chooses another instance",
             outcome="not-run",
             request_id=request_id,
             retry_after=0.1,
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/exchange.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/exchange.py
@@ -7,7 +7,7 @@
 
 
 class CutOff(wsgi.Aborted):
-    """The request is ended at once; the caller gets ``problem``."""
+    """The instance ends the request now; the caller gets ``problem``."""
 
     def __init__(self, problem):
         super().__init__(problem.message)
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/forwarder.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/forwarder.py
@@ -385,9 +385,9 @@
             closed=getattr(exc, "closed", False),
         )
 
-    def _submit(self, kind, attempt, **fields):
+    def _submit(self, event_type, attempt, **fields):
         request_id = self._incoming.request_id
-        self._host.submit(kind(request_id, attempt.number, **fields))
+        self._host.submit(event_type(request_id, attempt.number, **fields))
 
     def _report_finished(self, output_tokens):
         self._submit(
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/backend_servers.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/backend_servers.py
@@ -1,4 +1,4 @@
-"""The listener for backend servers: announcements."""
+"""The listener for backend servers: announcements and cache events."""
 
 import dandeliontrail
 import msgspec
@@ -11,29 +11,29 @@
 from .. import tokens
 from .. import wsgi
 
-BODY_BYTES = 256 * 1024
-BODY_SECONDS = 5.0
+MAX_BODY_BYTES = 256 * 1024
+MAX_BODY_SECONDS = 5.0
 
 
 class Accepted(msgspec.Struct):
-    """The answer to an announcement; ``lease`` is in seconds."""
+    """The answer to an announcement; ``lease`` is granted, in seconds."""
 
     lease: float
     accepted: bool = True
 
 
 class BackendServersApp:
-    """Takes in what backend servers say of themselves."""
+    """Receives what backend servers report about themselves."""
 
-    def __init__(self, host, door):
+    def __init__(self, host, authenticator):
         self._host = host
-        self._door = door
+        self._authenticator = authenticator
 
     def __call__(self, environ, start_response):
         """Serve one request."""
         if environ["PATH_INFO"] == "/healthz":
             return wsgi.reply_json(start_response, {"ok": True})
-        if not self._door.name_of(tokens.bearer(environ)):
+        if not self._authenticator.name_of(tokens.bearer(environ)):
             raise wsgi.Problem(
                 401,
                 "unknown_token",
@@ -47,12 +47,12 @@
         raise wsgi.not_found(environ["PATH_INFO"])
 
     def _cache_events(self, environ, start_response):
-        batch = _read(environ, announcements.CacheEvents)
+        batch = _read_json(environ, announcements.CacheEvents)
         self._host.submit(events.CacheChanged(batch))
         return wsgi.reply_json(start_response, {"accepted": True})
 
     def _announce(self, environ, start_response):
-        announcement = _read(environ, announcements.Announcement)
+        announcement = _read_json(environ, announcements.Announcement)
         try:
             announcement_checks.check(announcement)
         except dandeliontrail.ResourceInvalid as exc:
@@ -64,6 +64,8 @@
         return wsgi.reply_json(start_response, Accepted(lease))
 
 
-def _read(environ, kind):
-    body = wsgi.read_body(environ, BODY_BYTES, BODY_SECONDS)
-    return wsgi.decode(body, kind, "correct the field named")
+def _read_json(environ, body_type):
+    body = wsgi.read_body(environ, MAX_BODY_BYTES, MAX_BODY_SECONDS)
+    return wsgi.decode(
+        body, body_type, "correct the field named in the message"
+    )
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/callers.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/callers.py
@@ -1,4 +1,4 @@
-"""The listener for callers: the OpenAI-style paths and plain services."""
+"""The listener for callers: OpenAI-compatible paths and other services."""
 
 import hashlib
 import typing
@@ -14,16 +14,17 @@
 from .. import wsgi
 
 GENERATION_PATHS = ("/v1/chat/completions", "/v1/completions")
-SERVICES = "/services/"
-REQUEST_ID = "dandeliontrail.request_id"
-# English text runs at about four bytes a token; the engine's own count
-# replaces this estimate when the answer is whole.
+SERVICES_PREFIX = "/services/"
+# The key of the request id in the WSGI environment.
+REQUEST_ID_KEY = "dandeliontrail.request_id"
+# English text has about four bytes per token.  The engine's own count
+# replaces this estimate once the answer is complete.
 BYTES_PER_TOKEN = 4
 DEFAULT_OUTPUT_TOKENS = 256
-PREFIX_BYTES = 1024
+PROMPT_PREFIX_BYTES = 1024
 
 
-# Any context window is far below the upper bound.
+# The upper bound is far above any context window.
 OutputTokens = typing.Annotated[int, msgspec.Meta(ge=0, le=2**31)]
 
 
@@ -51,7 +52,7 @@
 
 
 class CallersApp:
-    """Serves callers."""
+    """Serves the requests of callers."""
 
     def __init__(self, host, engines, limits, drain):
         self._host = host
@@ -65,42 +66,46 @@
         if path == "/healthz":
             return wsgi.reply_json(start_response, {"ok": True})
         if path == "/readyz":
-            return self._ready(start_response)
+            return self._reply_ready(start_response)
         if path == "/v1/models":
-            return self._models(start_response)
-        return self._request(environ, start_response, path)
+            return self._reply_models(start_response)
+        return self._serve_request(environ, start_response, path)
 
-    def _request(self, environ, start_response, path):
-        """Serve what may reach a backend server, under an id of its own."""
-        environ[REQUEST_ID] = str(uuid.uuid4())
+    def _serve_request(self, environ, start_response, path):
+        """Serve a request for a backend server, under a new request id."""
+        environ[REQUEST_ID_KEY] = str(uuid.uuid4())
         try:
             if path in GENERATION_PATHS:
                 return self._generate(environ, start_response, path)
-            if path.startswith(SERVICES):
+            if path.startswith(SERVICES_PREFIX):
                 return self._service(environ, start_response, path)
             raise wsgi.not_found(path)
         except wsgi.Problem as problem:
             if not problem.request_id:
-                # Raised before the request was taken in, so nothing ran.
-                problem.request_id = environ[REQUEST_ID]
+                # Raised before the request reached the reducer, so nothing
+                # ran.
+                problem.request_id = environ[REQUEST_ID_KEY]
                 problem.outcome = "not-run"
             raise
 
-    def _ready(self, start_response):
+    def _reply_ready(self, start_response):
         if self._drain.draining:
             raise wsgi.Problem(
-                503, "draining", "It is draining.", "use another instance"
+                503,
+                "draining",
+                "The instance is draining.",
+                "use another instance",
             )
         if not self._host.state.log.ready:
             raise wsgi.Problem(
                 503,
                 "no_configuration",
                 "It has not yet caught up with the configuration.",
-                "use another instance; see the log where it lasts",
+                "use another instance; if this lasts, see the instance's log",
             )
         return wsgi.reply_json(start_response, {"ready": True})
 
-    def _models(self, start_response):
+    def _reply_models(self, start_response):
         now = self._host.clock.now()
         names = {
             name
@@ -111,7 +116,7 @@
         listing = ModelListing([ModelView(name) for name in sorted(names)])
         return wsgi.reply_json(start_response, listing)
 
-    def _body(self, environ):
+    def _read_body(self, environ):
         limits = self._limits
         return wsgi.read_body(environ, limits.body_bytes, limits.body_seconds)
 
@@ -120,14 +125,16 @@
             raise wsgi.Problem(
                 405, "method", "Only POST is served here.", "use POST"
             )
-        body = self._body(environ)
-        fields, raw = _decode(body)
-        event = self._event(environ, body)
+        body = self._read_body(environ)
+        fields, raw = _decode_generation(body)
+        event = self._new_event(environ, body)
         event.model = fields.model
         event.path = path
         event.streamed = fields.stream
         event.prompt_tokens = len(body) // BYTES_PER_TOKEN
-        event.prefix_hash = hashlib.sha256(body[:PREFIX_BYTES]).hexdigest()
+        event.prefix_hash = hashlib.sha256(
+            body[:PROMPT_PREFIX_BYTES]
+        ).hexdigest()
         event.max_output_tokens = (
             fields.max_completion_tokens
             or fields.max_tokens
@@ -137,11 +144,13 @@
         return self._relay(environ, event, call, start_response)
 
     def _service(self, environ, start_response, path):
-        service, _, rest = path[len(SERVICES) :].partition("/")
-        body = self._body(environ)
-        event = self._event(environ, body)
+        service, _, path_in_service = path[len(SERVICES_PREFIX) :].partition(
+            "/"
+        )
+        body = self._read_body(environ)
+        event = self._new_event(environ, body)
         event.service = service
-        event.path = "/" + rest
+        event.path = "/" + path_in_service
         query = environ.get("QUERY_STRING", "")
         target = event.path + (f"?{query}" if query else "")
         call = calls.ServiceCall(
@@ -152,15 +161,15 @@
         )
         return self._relay(environ, event, call, start_response)
 
-    def _event(self, environ, body):
+    def _new_event(self, environ, body):
         key = tokens.bearer(environ)
         return events.RequestReceived(
-            request_id=environ[REQUEST_ID],
+            request_id=environ[REQUEST_ID_KEY],
             key_hash=tokens.hash_of(key) if key else "",
             class_name=environ.get("HTTP_X_REQUEST_CLASS", ""),
-            timeout=_timeout(environ),
+            timeout=_requested_timeout(environ),
             idempotency_key=environ.get("HTTP_IDEMPOTENCY_KEY", ""),
-            body_digest=_digest(environ, body),
+            body_digest=_body_digest(environ, body),
         )
 
     def _relay(self, environ, event, call, start_response):
@@ -168,8 +177,8 @@
             raise wsgi.Problem(
                 503,
                 "draining",
-                "This instance is on its way out.",
-                "send it again; the balancer will choose another instance",
+                "This instance is shutting down.",
+                "send it again; the load balancer chooses another instance",
                 outcome="not-run",
                 request_id=event.request_id,
                 retry_after=1.0,
@@ -186,8 +195,11 @@
         )
 
 
-def _digest(environ, body):
-    """Return what tells a resend from another request with its key."""
+def _body_digest(environ, body):
+    """Return a digest of the whole request.
+
+    It tells a resend from a different request with the same idempotency key.
+    """
     parts = (
         environ["REQUEST_METHOD"],
         environ["PATH_INFO"],
@@ -197,14 +209,14 @@
     return hashlib.sha256(head + b"\0" + body).hexdigest()
 
 
-def _decode(body):
+def _decode_generation(body):
     remedy = "send a JSON object with the field named"
     fields = wsgi.decode(body, Fields, remedy)
     raw = wsgi.decode(body, dict[str, msgspec.Raw], remedy)
     return fields, raw
 
 
-def _timeout(environ):
+def _requested_timeout(environ):
     text = environ.get("HTTP_X_REQUEST_TIMEOUT", "")
     if not text:
         return None
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/drain_request.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/drain_request.py
@@ -1,4 +1,4 @@
-"""Operators' way to a drain: the same as SIGTERM, over HTTP."""
+"""Lets operators start a drain over HTTP, with the effect of SIGTERM."""
 
 from .. import tokens
 from .. import wsgi
@@ -7,22 +7,22 @@
 
 
 class DrainRequests:
-    """Stands before the operators' application and serves one path more.
+    """WSGI middleware that adds :data:`PATH` to the operators' application.
 
-    ``begin`` starts the drain; calling it again hurries the drain that is
-    under way, as a second SIGTERM does.
+    ``begin`` starts the drain.  Calling it again speeds up the drain that is
+    in progress, as a second SIGTERM does.
     """
 
-    def __init__(self, app, door, begin):
+    def __init__(self, app, authenticator, begin):
         self._app = app
-        self._door = door
-        self._begin = begin
+        self._authenticator = authenticator
+        self._begin_drain = begin
 
     def __call__(self, environ, start_response):
         """Serve one request."""
         if environ["PATH_INFO"] != PATH:
             return self._app(environ, start_response)
-        if not self._door.name_of(tokens.bearer(environ)):
+        if not self._authenticator.name_of(tokens.bearer(environ)):
             raise wsgi.Problem(
                 401,
                 "unknown_token",
@@ -33,5 +33,5 @@
             raise wsgi.Problem(
                 405, "method", "Only POST is served here.", "use POST"
             )
-        self._begin()
+        self._begin_drain()
         return wsgi.reply_json(start_response, {"draining": True}, 202)
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/duty_views.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/duty_views.py
@@ -1,4 +1,4 @@
-"""What operators see of the calls to the platform."""
+"""Views of the calls to the platform, for operators."""
 
 import msgspec
 
@@ -7,10 +7,11 @@
 
 
 class ServerOrderView(msgspec.Struct):
-    """The servers of one service and kind in one failure domain.
+    """Server counts of one service and kind in one failure domain.
 
-    ``ordered`` is the last order, ``serving`` what is heard of; ``needed``
-    are those of both kinds together.
+    ``ordered`` is the count last ordered from the platform, ``serving`` how
+    many servers are known to serve now, and ``needed`` how many are needed
+    of both kinds (regular and spot) together.
     """
 
     name: str
@@ -23,7 +24,7 @@
 
 
 def server_orders(host):
-    """Return the last order of each group of servers."""
+    """Return a view of the last order for each group of servers."""
     now = host.clock.now()
     serving = server_counts.count(
         item.announcement for item in host.state.registry.serving(now)
@@ -49,7 +50,7 @@
 
 
 def gauges(state):
-    """Return the numbers of the platform's duties, by name."""
+    """Return gauges about the platform duties, by metric name."""
     if not state.duties.options.any:
         return {}
     holding = state.orders.leases.holding(duties_state.SUBJECT)
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/keepers.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/keepers.py
@@ -1,4 +1,4 @@
-"""Who the keepers are, and operators' changes of that."""
+"""Lists the keepers and lets operators add and remove them."""
 
 import uuid
 
@@ -11,11 +11,11 @@
 
 from .. import wsgi
 
-SECONDS = 5.0
+ANSWER_TIMEOUT_SECONDS = 5.0
 
 
 class KeeperView(msgspec.Struct):
-    """One keeper and the identity of its data folder."""
+    """One keeper; ``folder`` is the identity of its data folder."""
 
     name: str
     folder: str
@@ -23,7 +23,7 @@
 
 
 class KeepersView(msgspec.Struct):
-    """The keepers, as the instance that was asked knows them."""
+    """The keepers that the queried instance knows."""
 
     kind: str
     version: int
@@ -31,7 +31,7 @@
 
 
 def listing(host):
-    """Return the keepers."""
+    """Return the :class:`KeepersView` of this instance."""
     status = host.state.log.status(host.clock.now())
     items = [
         KeeperView(item.name, item.folder, item.name == status.leader)
@@ -41,33 +41,40 @@
 
 
 def change(host, name, method):
-    """Ask the leader to add (POST) or remove (DELETE) a keeper."""
+    """Ask the leader to add (POST) or remove (DELETE) a keeper.
+
+    Raises ``wsgi.Problem`` if the change is refused or no answer comes within
+    ``ANSWER_TIMEOUT_SECONDS``; then it may or may not have been made.
+    """
     actions = {
         "POST": voters.VoterAction.ADD,
         "DELETE": voters.VoterAction.REMOVE,
     }
     if method not in actions:
         raise wsgi.Problem(
-            405, "method", f"{method} is not served here.", "use POST, DELETE"
+            405,
+            "method",
+            f"{method} is not supported here.",
+            "use POST or DELETE",
         )
     request_id = str(uuid.uuid4())
-    waiting = gevent_event.AsyncResult()
-    host.expect_write(request_id, waiting)
+    pending_answer = gevent_event.AsyncResult()
+    host.expect_write(request_id, pending_answer)
     host.submit(events.VoterChangeAsked(request_id, actions[method], name))
-    answer = waiting.wait(SECONDS)
+    answer = pending_answer.wait(ANSWER_TIMEOUT_SECONDS)
     host.forget_write(request_id)
     if answer is None:
         raise wsgi.Problem(
             504,
             "unknown",
             "The leader of the keepers did not answer.",
-            "list the keepers to see whether it was done, then send it again",
+            "list the keepers to see whether it was made, and resend if not",
             outcome="unknown",
         )
-    return _checked(answer)
+    return _check_answer(answer)
 
 
-def _checked(answer: effects.VoterAnswered):
+def _check_answer(answer: effects.VoterAnswered):
     if answer.remedy:
         raise wsgi.Problem(
             409,
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/operators.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/operators.py
@@ -1,4 +1,4 @@
-"""The listener for operators: the resource API, metrics, histograms."""
+"""The listener for operators: the resource API and metrics."""
 
 import urllib.parse
 
@@ -9,15 +9,15 @@
 from . import watches
 from . import writes
 
-ROOT = "/apis/v1/"
+API_ROOT = "/apis/v1/"
 
 
 class OperatorsApp:
-    """Serves the resource API."""
+    """Serves the resource API, ``/metrics`` and ``/healthz``."""
 
-    def __init__(self, host, door):
+    def __init__(self, host, authenticator):
         self._host = host
-        self._door = door
+        self._authenticator = authenticator
         self._writer = writes.Writer(host)
 
     def __call__(self, environ, start_response):
@@ -25,7 +25,7 @@
         path = environ["PATH_INFO"]
         if path == "/healthz":
             return wsgi.reply_json(start_response, {"ok": True})
-        author = self._door.name_of(tokens.bearer(environ))
+        author = self._authenticator.name_of(tokens.bearer(environ))
         if not author:
             raise wsgi.Problem(
                 401,
@@ -34,47 +34,47 @@
                 "send Authorization: Bearer with a registered token",
             )
         if path == "/metrics":
-            return self._metrics(environ, start_response)
-        if not path.startswith(ROOT):
+            return self._reply_metrics(environ, start_response)
+        if not path.startswith(API_ROOT):
             raise wsgi.not_found(path)
-        words = [
-            urllib.parse.unquote(word)
-            for word in path[len(ROOT) :].strip("/").split("/")
+        segments = [
+            urllib.parse.unquote(segment)
+            for segment in path[len(API_ROOT) :].strip("/").split("/")
         ]
         if environ["REQUEST_METHOD"] == "GET":
-            return self._read(words, environ, start_response)
-        value = self._write(words, author, environ)
+            return self._read(segments, environ, start_response)
+        value = self._write(segments, author, environ)
         return wsgi.reply_json(start_response, value)
 
-    def _metrics(self, environ, start_response):
+    def _reply_metrics(self, environ, start_response):
         query = urllib.parse.parse_qs(environ.get("QUERY_STRING", ""))
-        by = query.get("by", [""])[0]
-        return read_only.reply_metrics(self._host, start_response, by)
+        group_by = query.get("by", [""])[0]
+        return read_only.reply_metrics(self._host, start_response, group_by)
 
-    def _read(self, words, environ, start_response):
-        if watches.wanted(environ):
-            return watches.serve(self._host, words, environ, start_response)
-        if _asks_fresh(environ):
-            self._writer.refresh()
-        if words == ["keepers"]:
+    def _read(self, segments, environ, start_response):
+        if watches.is_requested(environ):
+            return watches.serve(self._host, segments, environ, start_response)
+        if _wants_fresh(environ):
+            self._writer.wait_until_current()
+        if segments == ["keepers"]:
             value = keepers.listing(self._host)
         else:
-            value = read_only.get(self._host, words)
+            value = read_only.get(self._host, segments)
         return wsgi.reply_json(start_response, value)
 
-    def _write(self, words, author, environ):
+    def _write(self, segments, author, environ):
         method = environ["REQUEST_METHOD"]
-        if words == ["changes"] and method == "POST":
+        if segments == ["changes"] and method == "POST":
             return self._writer.change(author, environ)
-        if words == ["rollback"] and method == "POST":
+        if segments == ["rollback"] and method == "POST":
             return self._writer.rollback(author, environ)
-        if len(words) != 2:
+        if len(segments) != 2:
             raise wsgi.not_found(environ["PATH_INFO"])
-        if words[0] == "keepers":
-            return keepers.change(self._host, words[1], method)
-        return self._writer.object(words, author, environ)
+        if segments[0] == "keepers":
+            return keepers.change(self._host, segments[1], method)
+        return self._writer.object(segments, author, environ)
 
 
-def _asks_fresh(environ):
+def _wants_fresh(environ):
     query = urllib.parse.parse_qs(environ.get("QUERY_STRING", ""))
     return query.get("fresh", [""])[0] == "true"
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/peers.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/peers.py
@@ -8,22 +8,22 @@
 from .. import peer_link
 from .. import wsgi
 
-BODY_SECONDS = 5.0
+MAX_BODY_SECONDS = 5.0
 
 
-def _environ_name(header):
+def _environ_key(header):
     return "HTTP_" + header.upper().replace("-", "_")
 
 
-SIGNATURE = _environ_name(peer_link.SIGNATURE_HEADER)
-TAKES_ANSWERS = _environ_name(peer_link.ANSWERS_HEADER)
+SIGNATURE_ENVIRON_KEY = _environ_key(peer_link.SIGNATURE_HEADER)
+ACCEPTS_ANSWERS_ENVIRON_KEY = _environ_key(peer_link.ANSWERS_HEADER)
 
 
 class PeersApp:
-    """Takes in the batches that :mod:`..peer_link` sends, and answers.
+    """Receives the batches that :mod:`..peer_link` sends, and answers them.
 
-    What these batches caused to be said to their sender goes back at once,
-    in the answer.
+    Messages to the sender that are produced while its batch is handled go
+    back in the HTTP response.
     """
 
     def __init__(self, host, key, limits, link):
@@ -36,24 +36,29 @@
         """Serve one request."""
         if environ["PATH_INFO"] != peer_link.PATH:
             raise wsgi.not_found(environ["PATH_INFO"])
-        body = wsgi.read_body(environ, self._limits.body_bytes, BODY_SECONDS)
-        if not self._key.verify(body, environ.get(SIGNATURE, "")):
+        body = wsgi.read_body(
+            environ, self._limits.body_bytes, MAX_BODY_SECONDS
+        )
+        if not self._key.verify(body, environ.get(SIGNATURE_ENVIRON_KEY, "")):
             raise wsgi.Problem(
                 401,
                 "peer_signature",
                 "The batch is not signed with this system's key.",
-                "give every instance the same peer_key_file",
+                "use the same peer_key_file on every instance",
             )
         try:
             encoding = environ.get("HTTP_CONTENT_ENCODING", "")
             envelope, left_out = codec.decode(packing.unpack(body, encoding))
         except (msgspec.DecodeError, packing.BadBatch) as exc:
             raise wsgi.Problem(
-                400, "malformed", f"{exc}.", "run one release everywhere"
+                400,
+                "malformed",
+                f"{exc}.",
+                "run the same release on every instance",
             )
         self._link.count_received(len(body), envelope, left_out)
         self._link.take_in(envelope)
-        if not environ.get(TAKES_ANSWERS):
+        if not environ.get(ACCEPTS_ANSWERS_ENVIRON_KEY):
             return wsgi.reply(start_response, 200, b"{}", [wsgi.JSON])
         body, headers = self._link.answer(envelope.sender.address)
         return wsgi.reply(start_response, 200, body, headers.items())
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/read_only.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/read_only.py
@@ -1,4 +1,4 @@
-"""What operators read: objects, servers, instances, usage, histograms."""
+"""Read access to objects, servers, instances, usage and histograms."""
 
 import bisect
 import typing
@@ -15,21 +15,21 @@
 
 
 class InForce(msgspec.Struct):
-    """How many instances have a version in force, of how many known."""
+    """How many of the ``of`` known instances have a version in force."""
 
     instances: int
     of: int
 
 
 class Status(msgspec.Struct):
-    """The observed part of an object."""
+    """The observed status of an object."""
 
     conditions: list[str]
     in_force: InForce
 
 
 class Object(msgspec.Struct):
-    """One declared object, as the API shows it."""
+    """One declared object, as the API returns it."""
 
     kind: str
     name: str
@@ -47,7 +47,10 @@
 
 
 class ServerView(msgspec.Struct):
-    """A backend server as this instance knows it; times in seconds."""
+    """A backend server as this instance knows it.
+
+    ``heard_ago`` is the age of its last announcement in seconds.
+    """
 
     name: str
     kind: str
@@ -60,7 +63,10 @@
 
 
 class InstanceView(msgspec.Struct):
-    """An instance as this one knows it; ``heard_ago`` in seconds."""
+    """An instance as this one knows it.
+
+    ``heard_ago`` is the time since the last contact in seconds.
+    """
 
     name: str
     failure_domain: str
@@ -72,7 +78,7 @@
 
 
 class UsageView(msgspec.Struct):
-    """What an organisation used in one class on one UTC day."""
+    """The usage of an organisation in one class on one UTC day."""
 
     day: str
     organisation: str
@@ -84,7 +90,7 @@
 
 
 class HistoryView(msgspec.Struct):
-    """One accepted change; ``objects`` are those it touched."""
+    """One accepted change; ``objects`` are those that it changed."""
 
     version: int
     author: str
@@ -92,24 +98,28 @@
     objects: list[str]
 
 
-def get(host, words):
-    """Return what ``/apis/v1/`` and ``words`` name."""
-    reader = _READERS.get(words[0])
-    if reader and len(words) == 1:
-        return reader(host)
-    if words[0] == "status":
+def get(host, segments):
+    """Return the resource at the path ``segments`` below ``/apis/v1/``."""
+    collection = _COLLECTIONS.get(segments[0])
+    if collection and len(segments) == 1:
+        return collection(host)
+    if segments[0] == "status":
         return _status(host)
-    if len(words) == 1:
-        return _list(host, words[0])
-    if len(words) == 2 and reader:
-        return _named(reader(host), words)
-    if len(words) == 2:
-        return _shown(host, held(host, *words))
-    raise wsgi.not_found("/".join(words))
+    if len(segments) == 1:
+        return _list_objects(host, segments[0])
+    if len(segments) == 2 and collection:
+        return _item_named(collection(host), segments)
+    if len(segments) == 2:
+        return _show_object(host, stored_object(host, *segments))
+    raise wsgi.not_found("/".join(segments))
+
 
+def stored_object(host, kind, name):
+    """Return a stored object.
 
-def held(host, kind, name):
-    """Return the stored object, or raise the problem that it is not."""
+    Raises ``wsgi.Problem`` with status 404 if the kind is unknown or there is
+    no such object.
+    """
     try:
         found = host.state.store.get(checks.kind_of(kind), name)
     except checks.errors.ResourceInvalid as exc:
@@ -124,31 +134,33 @@
     return found
 
 
-def _named(listing, words):
+def _item_named(listing, segments):
     for item in listing.items:
-        if item.name == words[1]:
+        if item.name == segments[1]:
             return item
     raise wsgi.Problem(
         404,
         "not_found",
-        f"There is no {'/'.join(words)}.",
+        f"There is no {'/'.join(segments)}.",
         "list the kind to see the names that exist",
     )
 
 
-def _list(host, kind_text):
+def _list_objects(host, kind_text):
     try:
         kind = checks.kind_of(kind_text)
     except checks.errors.ResourceInvalid as exc:
         raise wsgi.Problem(404, "unknown_kind", exc.message, exc.remedy)
     store = host.state.store
     found = store.objects[kind]
-    counter = _Counter(host)
-    items = [_object(host, found[name], counter) for name in sorted(found)]
+    counter = _InForceCounter(host)
+    items = [
+        _object_view(host, found[name], counter) for name in sorted(found)
+    ]
     return Listing(kind_text, store.version, items)
 
 
-def _object(host, resource, counter):
+def _object_view(host, resource, counter):
     found = placement_status.conditions(host.state, resource)
     return Object(
         resource.kind.value,
@@ -159,21 +171,24 @@
     )
 
 
-def after_write(host, words, result):
-    """Return the object that was written, or the bare result.
+def after_write(host, segments, result):
+    """Return the object that was written, or ``result`` if there is none.
 
-    Someone else may have deleted it again by now, and a dry run may never
-    have made it.
+    It may have been deleted by another write meanwhile, and a dry run does
+    not create it.
     """
-    found = host.state.store.get(checks.kind_of(words[0]), words[1])
-    return _object(host, found, _Counter(host)) if found else result
+    found = host.state.store.get(checks.kind_of(segments[0]), segments[1])
+    return (
+        _object_view(host, found, _InForceCounter(host)) if found else result
+    )
 
 
-class _Counter:
+class _InForceCounter:
     """Counts the instances that have a version in force.
 
-    With 1,600 objects in a listing and 530 instances, the versions are
-    sorted once and not counted for each object anew.
+    The versions of the instances are sorted once per listing instead of
+    being counted for each object: a listing may have 1,600 objects, with 530
+    instances.
     """
 
     __slots__ = ("_applied",)
@@ -185,20 +200,21 @@
         self._applied = sorted(applied)
 
     def count(self, version):
-        """Return how many instances are at ``version`` or past it."""
+        """Return how many instances are at ``version`` or later."""
         known = len(self._applied)
         below = bisect.bisect_left(self._applied, version)
         return InForce(known - below, known)
 
 
-def _shown(host, resource):
-    """Return one object to someone who may be watching it land.
+def _show_object(host, resource):
+    """Return one object and request fresh versions from the instances.
 
-    Heartbeats cross some links only; the others are asked for their
-    versions, and the next look shows what they say.
+    The reader may be waiting until the object is in force everywhere.
+    Heartbeats are sent over some links only, so the other instances are asked
+    for their versions; the next read includes their replies.
     """
     host.submit(events.InForceAsked(resource.version))
-    return _object(host, resource, _Counter(host))
+    return _object_view(host, resource, _InForceCounter(host))
 
 
 def _history(host):
@@ -224,7 +240,7 @@
 
 
 def log_metrics(host):
-    """Return how the configuration stands, as Prometheus text."""
+    """Return gauges about the configuration log, as Prometheus text."""
     status = host.state.log.status(host.clock.now())
     gauges = {
         "applied": status.applied,
@@ -294,7 +310,7 @@
 
 
 def _usage(host):
-    held = host.state.usage
+    usage = host.state.usage
     items = [
         UsageView(
             key.day,
@@ -305,11 +321,11 @@
             totals.output_tokens,
             totals.wasted_tokens,
         )
-        for key, totals in sorted(held.totals.daily.items())
+        for key, totals in sorted(usage.totals.daily.items())
     ]
-    # Not the version of the log: two instances whose numbers are equal
-    # hold the same usage.
-    return Listing("usage", held.version(), items)
+    # The version is that of the usage, not of the log: two instances with
+    # equal versions hold the same usage.
+    return Listing("usage", usage.version(), items)
 
 
 def _histograms(host):
@@ -318,10 +334,10 @@
 
 
 class StatusView(msgspec.Struct):
-    """One instance at a glance.
+    """A summary of one instance.
 
-    ``reach`` is ``majority``, ``minority``, ``own_failure_domain`` or
-    ``nobody``: whom of the other instances it hears.
+    ``reach`` tells which other instances it hears: ``majority``,
+    ``minority``, ``own_failure_domain`` or ``nobody``.
     """
 
     instance: str
@@ -353,7 +369,7 @@
     )
 
 
-_READERS = {
+_COLLECTIONS = {
     "backendservers": _servers,
     "instances": _instances,
     "serverorders": _server_orders,
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/watches.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/watches.py
@@ -1,7 +1,8 @@
-"""Watches: the changes of objects, as they happen, as JSON lines.
+"""Watches: streams of changes to objects, as JSON lines.
 
-Each line has the version that it stands at, so a watch that broke off goes
-on from there, on this instance or another, and misses and repeats nothing.
+Each line carries the version of its change.  An interrupted watch can resume
+from that version, on this instance or another, without missing or repeating
+a change.
 """
 
 import urllib.parse
@@ -13,14 +14,14 @@
 from .. import wsgi
 from . import writes
 
-# Without changes a line comes this often all the same: it moves the version
-# to resume from along, and tells a live connection from one gone silent.
+# The interval of bookmark lines while nothing changes: they advance the
+# version to resume from and show that the connection is alive.
 BOOKMARK_SECONDS = 10.0
 ALL_KINDS = "changes"
 
 
 class WatchedObject(msgspec.Struct):
-    """An object in a watch; ``spec`` is null where it was deleted."""
+    """An object in a watch; ``spec`` is null if it was deleted."""
 
     kind: str
     name: str
@@ -38,25 +39,30 @@
     remedy: str = ""
 
 
-def wanted(environ):
-    """Tell whether a GET asks for a watch."""
+def is_requested(environ):
+    """Return whether a GET request asks for a watch."""
     query = urllib.parse.parse_qs(environ.get("QUERY_STRING", ""))
     return query.get("watch", [""])[0] == "true"
 
 
-def serve(host, words, environ, start_response):
-    """Stream the changes of a kind, of one object, or of all."""
-    version = _from(host, environ)
+def serve(host, segments, environ, start_response):
+    """Stream the changes of one kind, of one object, or of all kinds.
+
+    ``segments`` are the parts of the path after the root of the API.  Raises
+    ``wsgi.Problem`` if the version to start from is malformed or no longer
+    held.
+    """
+    version = _start_version(host, environ)
     try:
         host.state.store.history.since(version)
     except history.HistoryGone as exc:
-        raise writes.gone(exc)
-    lines = ("Content-Type", "application/jsonl")
-    start_response(wsgi.status_line(200), [lines])
-    return _lines(host, words, version)
+        raise writes.version_gone_problem(exc)
+    content_type = ("Content-Type", "application/jsonl")
+    start_response(wsgi.status_line(200), [content_type])
+    return _lines(host, segments, version)
 
 
-def _from(host, environ):
+def _start_version(host, environ):
     query = urllib.parse.parse_qs(environ.get("QUERY_STRING", ""))
     text = query.get("from", [""])[0]
     if not text:
@@ -71,13 +77,14 @@
     return int(text)
 
 
-def _lines(host, words, version):
+def _lines(host, segments, version):
     yield _encode(WatchLine("bookmark", version))
     store = host.state.store
     while True:
         changed = host.wait_version(version, BOOKMARK_SECONDS)
-        # ``from`` may lie ahead of an instance that is behind: it waits.
-        reached = max(version, store.version)
+        # ``from`` may be ahead of an instance that lags behind; the watch
+        # then waits until the instance has caught up.
+        next_version = max(version, store.version)
         try:
             items = store.history.since(version)
         except history.HistoryGone as exc:
@@ -85,25 +92,25 @@
                 WatchLine("gone", version, None, exc.message, exc.remedy)
             )
             return
-        version = reached
+        version = next_version
         for item in items:
             for step in item.steps:
-                if _matches(words, step):
+                if _matches(segments, step):
                     yield _encode(_line(item.version, step))
         if not changed or not items:
             yield _encode(WatchLine("bookmark", version))
 
 
-def _matches(words, step):
-    if words[0] != ALL_KINDS and step.kind.value != words[0]:
+def _matches(segments, step):
+    if segments[0] != ALL_KINDS and step.kind.value != segments[0]:
         return False
-    return len(words) == 1 or step.name == words[1]
+    return len(segments) == 1 or step.name == segments[1]
 
 
 def _line(version, step):
     deleted = bytes(step.after) == history.ABSENT
-    found = WatchedObject(step.kind.value, step.name, version, step.after)
-    return WatchLine("deleted" if deleted else "put", version, found)
+    watched = WatchedObject(step.kind.value, step.name, version, step.after)
+    return WatchLine("deleted" if deleted else "put", version, watched)
 
 
 def _encode(line):
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/writes.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/writes.py
@@ -1,4 +1,4 @@
-"""Operators' writes: one object, many at once, roll-backs, dry runs."""
+"""Operators' writes: single objects, atomic changes, rollbacks, dry runs."""
 
 import typing
 import urllib.parse
@@ -14,14 +14,16 @@
 from .. import wsgi
 from . import read_only
 
-BODY_BYTES = 1024 * 1024
-BODY_SECONDS = 10.0
-# Longer than the reducer takes to call a proposal unknown.
-WRITE_SECONDS = 10.0
-RETRY_AFTER = 2.0
-# How often a PATCH without If-Match is merged anew when someone else wrote
-# in between; each round somebody got further, so a few suffice.
-PATCH_ROUNDS = 5
+MAX_BODY_BYTES = 1024 * 1024
+MAX_BODY_SECONDS = 10.0
+# Longer than the time after which the reducer itself reports the result of a
+# proposal as unknown.
+WRITE_TIMEOUT_SECONDS = 10.0
+RETRY_AFTER_SECONDS = 2.0
+# How often a PATCH without If-Match is merged and written if concurrent writes
+# conflict with it.  In each round at least one writer succeeds, so a few
+# attempts suffice.
+MAX_PATCH_ATTEMPTS = 5
 
 _STATUSES = {
     changes.ResultKind.CONFLICT: 409,
@@ -33,7 +35,7 @@
 
 
 class Submitted(msgspec.Struct):
-    """The body of a write to one object; only ``spec`` counts."""
+    """The body of a write to one object; all but ``spec`` is ignored."""
 
     spec: msgspec.Raw
     kind: str = ""
@@ -48,7 +50,7 @@
 
 
 class SubmittedRollback(msgspec.Struct, forbid_unknown_fields=True):
-    """The body of a roll-back: the version whose state is wanted."""
+    """The body of a rollback; ``to`` is the version to restore."""
 
     to: int
 
@@ -59,9 +61,9 @@
     def __init__(self, host):
         self._host = host
 
-    def object(self, words, author, environ):
-        """Write one object and return what it is then."""
-        kind, name = words
+    def object(self, segments, author, environ):
+        """Write one object and return its new state."""
+        kind, name = segments
         method = environ["REQUEST_METHOD"]
         operation_id = _operation_id(environ)
         if_match = _if_match(environ)
@@ -70,41 +72,42 @@
                 changes.Verb.DELETE, kind, name, if_match=if_match
             )
             change = changes.Change(operation_id, [operation], author)
-            return self._accepted(change, environ)
-        body = wsgi.read_body(environ, BODY_BYTES, BODY_SECONDS)
+            return self._apply(change, environ)
+        body = wsgi.read_body(environ, MAX_BODY_BYTES, MAX_BODY_SECONDS)
         submitted = wsgi.decode(body, Submitted, "send {'spec': {…}} as JSON")
         spec = submitted.spec
         if method == "PATCH":
-            found = self._patch(words, author, environ, spec)
+            found = self._patch(segments, author, environ, spec)
         elif method == "PUT":
             operation = changes.Operation(
                 changes.Verb.PUT, kind, name, spec, if_match
             )
             change = changes.Change(operation_id, [operation], author)
-            found = self._accepted(change, environ)
+            found = self._apply(change, environ)
         else:
             raise wsgi.Problem(
                 405,
                 "method",
-                f"{method} is not served here.",
+                f"{method} is not supported here.",
                 "use GET, PUT, PATCH or DELETE",
             )
-        return read_only.after_write(self._host, words, found)
+        return read_only.after_write(self._host, segments, found)
 
-    def _patch(self, words, author, environ, fields):
-        """Merge fields into an object, on top of its present version.
+    def _patch(self, segments, author, environ, fields):
+        """Merge ``fields`` into an object and write the result.
 
-        The merge is made here and written under the version that it was
-        made from, so that two of them at once cannot undo each other.
+        The merge is computed here and written on condition that the object
+        still has the version that it was computed from, so that two
+        concurrent patches cannot overwrite each other.
         """
-        kind, name = words
-        first_id = _operation_id(environ)
+        kind, name = segments
+        base_operation_id = _operation_id(environ)
         given = _if_match(environ)
-        for number in range(PATCH_ROUNDS):
-            held = read_only.held(self._host, kind, name)
-            present = msgspec.json.decode(msgspec.json.encode(held.spec))
+        for attempt in range(MAX_PATCH_ATTEMPTS):
+            stored = read_only.stored_object(self._host, kind, name)
+            present = msgspec.json.decode(msgspec.json.encode(stored.spec))
             merged = merge_patch(present, msgspec.json.decode(fields))
-            if_match = held.version if given is None else given
+            if_match = stored.version if given is None else given
             operation = changes.Operation(
                 changes.Verb.PUT,
                 kind,
@@ -112,17 +115,21 @@
                 msgspec.Raw(msgspec.json.encode(merged)),
                 if_match,
             )
-            operation_id = f"{first_id}/{number}" if number else first_id
+            operation_id = (
+                f"{base_operation_id}/{attempt}"
+                if attempt
+                else base_operation_id
+            )
             change = changes.Change(operation_id, [operation], author)
-            result = self._result(change, environ)
-            again = result.kind is changes.ResultKind.CONFLICT
-            if not again or given is not None:
+            result = self._submit(change, environ)
+            conflict = result.kind is changes.ResultKind.CONFLICT
+            if not conflict or given is not None:
                 break
-        return _checked(result)
+        return _check_result(result)
 
     def change(self, author, environ):
-        """Make several operations one change: all or none takes effect."""
-        body = wsgi.read_body(environ, BODY_BYTES, BODY_SECONDS)
+        """Apply several operations atomically, as one change."""
+        body = wsgi.read_body(environ, MAX_BODY_BYTES, MAX_BODY_SECONDS)
         submitted = wsgi.decode(
             body,
             SubmittedChange,
@@ -131,44 +138,48 @@
         change = changes.Change(
             _operation_id(environ), submitted.operations, author
         )
-        return self._accepted(change, environ)
+        return self._apply(change, environ)
 
     def rollback(self, author, environ):
-        """Bring all objects back to an earlier version, by a new change."""
-        body = wsgi.read_body(environ, BODY_BYTES, BODY_SECONDS)
+        """Restore the state of all objects at a version, by a new change."""
+        body = wsgi.read_body(environ, MAX_BODY_BYTES, MAX_BODY_SECONDS)
         submitted = wsgi.decode(body, SubmittedRollback, "send {'to': N}")
         try:
             operations = self._host.state.store.rollback(submitted.to)
         except history.HistoryGone as exc:
-            raise gone(exc)
+            raise version_gone_problem(exc)
         change = changes.Change(_operation_id(environ), operations, author)
-        return self._accepted(change, environ)
+        return self._apply(change, environ)
 
-    def _accepted(self, change, environ):
-        return _checked(self._result(change, environ))
+    def _apply(self, change, environ):
+        return _check_result(self._submit(change, environ))
 
-    def _result(self, change, environ):
+    def _submit(self, change, environ):
         query = urllib.parse.parse_qs(environ.get("QUERY_STRING", ""))
         if query.get("dry_run", [""])[0] == "true":
             return self._host.state.store.check(change)
         write_id = str(uuid.uuid4())
-        return self._wait(write_id, events.WriteSubmitted(write_id, change))
+        return self._submit_and_wait(
+            write_id, events.WriteSubmitted(write_id, change)
+        )
 
-    def refresh(self):
-        """Return once all that was accepted until now is in force here."""
+    def wait_until_current(self):
+        """Wait until every change accepted so far is in force here."""
         read_id = str(uuid.uuid4())
-        _checked(self._wait(read_id, events.ReadSubmitted(read_id)))
+        _check_result(
+            self._submit_and_wait(read_id, events.ReadSubmitted(read_id))
+        )
 
-    def _wait(self, write_id, event):
-        waiting = gevent_event.AsyncResult()
-        self._host.expect_write(write_id, waiting)
+    def _submit_and_wait(self, write_id, event):
+        pending_result = gevent_event.AsyncResult()
+        self._host.expect_write(write_id, pending_result)
         self._host.submit(event)
-        result = waiting.wait(WRITE_SECONDS)
+        result = pending_result.wait(WRITE_TIMEOUT_SECONDS)
         self._host.forget_write(write_id)
         if result is None:
             return changes.Result(
                 changes.ResultKind.UNKNOWN,
-                message="No answer came in time; it may yet take effect.",
+                message="No answer came in time; it may still take effect.",
                 remedy="resend with the same Operation-Id",
             )
         return result
@@ -191,8 +202,8 @@
     return merged
 
 
-def gone(exc):
-    """Return the problem of a version that is no longer held."""
+def version_gone_problem(exc):
+    """Return the problem for a version that is no longer stored."""
     return wsgi.Problem(410, "version_gone", exc.message, exc.remedy)
 
 
@@ -222,19 +233,19 @@
     return int(text)
 
 
-def _checked(result):
-    """Return an accepted result, or raise the problem that it tells."""
+def _check_result(result):
+    """Return an accepted result; raise any other as a ``wsgi.Problem``."""
     if result.kind is changes.ResultKind.ACCEPTED:
         return result
-    unknown = result.kind is changes.ResultKind.UNKNOWN
+    is_unknown = result.kind is changes.ResultKind.UNKNOWN
     retry_after = None
-    if unknown or result.kind is changes.ResultKind.NO_QUORUM:
-        retry_after = RETRY_AFTER
+    if is_unknown or result.kind is changes.ResultKind.NO_QUORUM:
+        retry_after = RETRY_AFTER_SECONDS
     raise wsgi.Problem(
         _STATUSES[result.kind],
         result.kind.value,
         result.message,
         result.remedy,
-        outcome="unknown" if unknown else "not-run",
+        outcome="unknown" if is_unknown else "not-run",
         retry_after=retry_after,
     )
--- a/tests/cover/test_bad_input.py
+++ b/tests/cover/test_bad_input.py
@@ -1,6 +1,6 @@
-"""Callers and backend servers that send what they should not.
+"""Malformed input from callers and backend servers.
 
-Each gets a clear error at a bounded cost, and the instance serves on.
+Each gets a clear error at a bounded cost, and the instance keeps serving.
 """
 
 import contextlib
@@ -22,8 +22,8 @@
     "write_seconds": 0.5,
 }
 
-# Two hops of loopback hold at most this much in their socket buffers.
-SOCKET_BYTES = 32 * 1024 * 1024
+# The most that the socket buffers of two loopback connections can hold.
+MAX_SOCKET_BYTES = 32 * 1024 * 1024
 
 
 @pytest.fixture(scope="module")
@@ -33,7 +33,7 @@
         shared.engine("e1", step=0.0005)
         shared.apply({"lookup": {"priority": 0}})
         yield shared
-        # Whatever came before, the instance is still well.
+        # After all the tests the instance still serves requests.
         address = shared.instances[0].addresses["callers"]
         ask = client.Ask(address, world.KEY, "", "hello")
         assert client.send(ask).complete
@@ -49,7 +49,7 @@
 
 
 def read_answer(conn):
-    """Return status and error of what comes until the connection ends."""
+    """Read until the connection ends; return the status and the error."""
     parts = []
     while True:
         try:
@@ -94,9 +94,9 @@
     assert error["remedy"] and error["outcome"] == "not-run"
 
 
-def test_cut_body_is_not_run(made):
-    # The caller closes its sending side in the middle of the body.  What
-    # came must not be taken for the request.
+def test_truncated_body_is_not_run(made):
+    # The caller shuts down its sending side in the middle of the body.  The
+    # partial body must not be served as the request.
     ran = len(made.engines[0].ran)
     with connection(made) as conn:
         conn.sendall((POST + "Content-Length: 50\r\n\r\n{}").encode())
@@ -140,7 +140,7 @@
     assert error["remedy"] and error["outcome"] == "not-run"
 
 
-ABSURD = {
+INVALID_FIELDS = {
     "url": ["", "no url", "ftp://127.0.0.1:1", "http://", "http://a:99999"],
     "lease": [-1, 0],
     "slots": [-1, 10**9],
@@ -154,9 +154,13 @@
 
 @pytest.mark.parametrize(
     "field, value",
-    [(field, value) for field in ABSURD for value in ABSURD[field]],
+    [
+        (field, value)
+        for field in INVALID_FIELDS
+        for value in INVALID_FIELDS[field]
+    ],
 )
-def test_absurd_announcement_is_refused(made, field, value):
+def test_invalid_announcement_is_refused(made, field, value):
     announcement = made.engines[0].announcement(1)
     announcement["backend_server"] = "absurd"
     announcement[field] = value
@@ -164,7 +168,7 @@
     check_refused(made, body)
 
 
-def test_announcement_with_a_number_that_is_none_is_refused(made):
+def test_announcement_with_a_non_finite_number_is_refused(made):
     body = msgspec.json.encode(made.engines[0].announcement(1))
     check_refused(made, body.replace(b'"lease":3', b'"lease":NaN'))
     check_refused(made, body.replace(b'"lease":3', b'"lease":1e999'))
@@ -182,20 +186,20 @@
     assert "absurd" not in servers
 
 
-def test_caller_that_takes_nothing_is_cut_off(made, monkeypatch):
-    # A caller asks for a long answer and reads none of it.  The pressure
-    # must reach the engine, with nothing gathered in between but what the
-    # sockets hold; and since the stream must not be held up for good, the
-    # caller is then cut off and the engine told to stop.
+def test_caller_that_reads_nothing_is_disconnected(made, monkeypatch):
+    # A caller requests a long answer and reads none of it.  Backpressure must
+    # reach the engine, with nothing buffered in between except by the
+    # sockets.  The stream must not block forever, so the caller is then
+    # disconnected and the engine told to stop.
     event = b"data: " + b"x" * 65536 + b"\n\n"
-    given = [0]
+    sent_bytes = [0]
 
-    def gush(stream, start):
+    def endless_events(stream, start):
         while True:
-            given[0] += len(event)
+            sent_bytes[0] += len(event)
             yield event
 
-    monkeypatch.setattr(made.engines[0], "_event_bytes", gush)
+    monkeypatch.setattr(made.engines[0], "_event_bytes", endless_events)
     body = b'{"model": "small", "stream": true}'
     head = POST + f"Authorization: Bearer {world.KEY}\r\n"
     head += f"Content-Length: {len(body)}\r\n\r\n"
@@ -205,4 +209,4 @@
         conn.sendall(head.encode() + body)
         world.wait_until(host.open_exchanges)
         world.wait_until(lambda: not host.open_exchanges())
-    assert given[0] < SOCKET_BYTES
+    assert sent_bytes[0] < MAX_SOCKET_BYTES
--- a/tests/cover/test_connecting.py
+++ b/tests/cover/test_connecting.py
@@ -1,4 +1,4 @@
-"""How connections to other instances and backend servers come about."""
+"""Opening connections to other instances and to backend servers."""
 
 import contextlib
 
@@ -11,18 +11,18 @@
 
 @contextlib.contextmanager
 def listener():
-    """Yield the address of a server that takes connections."""
-    made = gevent_server.StreamServer(("127.0.0.1", 0), lambda *args: None)
-    made.start()
+    """Yield the address of a server that accepts connections."""
+    server = gevent_server.StreamServer(("127.0.0.1", 0), lambda *args: None)
+    server.start()
     try:
-        yield f"127.0.0.1:{made.server_port}"
+        yield f"127.0.0.1:{server.server_port}"
     finally:
-        made.stop(0)
+        server.stop(0)
 
 
 @contextlib.contextmanager
 def no_lookups():
-    """Fail each lookup of an address."""
+    """Make every address lookup fail."""
 
     class Resolver:
         def getaddrinfo(self, *args):
@@ -37,9 +37,9 @@
 
 
 def test_numeric_address_is_not_looked_up():
-    # Half of all requests at 73 entries need a new connection.  Each had its
-    # address looked up on a thread although it is a number: where threads
-    # take turns on a busy core, the request waits for two turns.
+    # With 73 instances taking requests, half of all requests need a new
+    # connection.  Looking up a numeric address used a resolver thread, and on
+    # a busy core the request waited for two thread switches.
     with listener() as address, no_lookups():
         conn = connections.Connections(0.2).open(address)
         conn.close()
@@ -51,7 +51,7 @@
         connection.connect(f"localhost:{port}", 1.0).close()
 
 
-def test_refused_connection_is_an_error_of_the_system():
+def test_refused_connection_raises_oserror():
     with listener() as address:
         pass
     with pytest.raises(OSError):
--- a/tests/cover/test_events_splitter.py
+++ b/tests/cover/test_events_splitter.py
@@ -1,4 +1,4 @@
-"""Streams are cut into whole events, whatever pieces they come in."""
+"""Streams are split into whole events, however the bytes are chunked."""
 
 from dandeliontrail_node.forwarding import events_splitter
 from hypothesis import given
@@ -31,7 +31,7 @@
     assert splitter.last_id == events[-1][0]
 
 
-def test_what_a_server_broke_off_in_is_forgotten():
+def test_incomplete_event_of_a_failed_server_is_discarded():
     splitter = events_splitter.EventsSplitter()
     assert splitter.feed(b"id: 1\n\nid: 2\nda") == b"id: 1\n\n"
     assert splitter.pending
--- a/tests/cover/test_forwarding.py
+++ b/tests/cover/test_forwarding.py
@@ -1,4 +1,4 @@
-"""What callers of a declared route get, and what servers get to see."""
+"""Forwarding on declared routes, as callers and backend servers see it."""
 
 import time
 
@@ -13,7 +13,7 @@
 
 
 def answers(status=200, body=b"done"):
-    """Return a script that always answers the same."""
+    """Return a server script that gives every request the same answer."""
 
     def script(server, sock, head):
         sock.sendall(
@@ -30,7 +30,7 @@
 
 
 def start(made, *scripts):
-    """Return an entry and servers that it knows."""
+    """Return an instance and the servers that it knows, one per script."""
     entry = made.entry()
     servers = [made.server(script) for script in scripts]
     for server in servers:
@@ -71,8 +71,8 @@
 
 
 def test_a_request_that_may_not_be_repeated_runs_once(made):
-    # Two servers close the connection after the request has come in.  Was
-    # the order taken?  Nobody knows, so it must not be given to the second.
+    # Both servers close the connection after they have received the request.
+    # The first may have run it, so it must not be sent to the second.
     def breaks(server, sock, head):
         return "close"
 
@@ -92,7 +92,7 @@
     entry, servers = start(made, full, answers(200, b"ok"))
     number = 0
     while not servers[0].ran:
-        # Which of the two is asked first is up to chance.
+        # Which of the two is tried first is random.
         number += 1
         assert number < 100
         reply = made.call(entry, "POST", "/order/", f"r{number}", body=b"{}")
@@ -100,8 +100,8 @@
 
 
 def test_nobody_gets_the_answer_to_another_request(made):
-    # A server answers one request twice.  The second answer lies on the kept
-    # connection and would be taken for the answer to the next caller.
+    # A server answers one request twice.  The second answer arrives on the
+    # keep-alive connection and would be taken for that to the next request.
     def twice(server, sock, head):
         first = platform_world.whole(
             200, b"for " + platform_world.id_of(head).encode(), "x"
@@ -122,7 +122,7 @@
         gevent.sleep(0.05 * (number % 2))
 
 
-def test_garbage_is_no_answer(made):
+def test_an_answer_that_is_not_http_is_a_bad_gateway(made):
     def garbage(server, sock, head):
         sock.sendall(b"\x00\x01 this is not HTTP\r\n\r\n")
         return "close"
@@ -133,7 +133,7 @@
     assert platform_world.SEAL.lower() not in reply.headers
 
 
-def test_an_answer_that_is_cut_does_not_look_whole(made):
+def test_a_truncated_answer_does_not_look_complete(made):
     def cut(server, sock, head):
         sock.sendall(
             platform_world.whole(
@@ -147,7 +147,11 @@
 
 
 def streams(first, last, then=""):
-    """Return a script that sends events ``first`` to ``last``."""
+    """Return a script that streams events ``first`` to ``last``.
+
+    Any ``then`` closes the connection without the end of the stream;
+    ``mid-event`` first sends part of another event.
+    """
 
     def script(server, sock, head):
         sock.sendall(platform_world.stream_head(platform_world.id_of(head)))
@@ -164,7 +168,7 @@
     return script
 
 
-def pieces(reply):
+def event_ids(reply):
     return [
         line for line in reply.body.decode().split("\n") if line[:3] == "id:"
     ]
@@ -182,8 +186,9 @@
 
 
 def test_a_stream_goes_on_at_another_server_after_its_last_event(made):
-    # A server crashes in the middle of an event.  The caller would see half
-    # of it, then the next server's first event: pieces of two runs, joined.
+    # A server crashes in the middle of an event.  If the partial event were
+    # relayed, the caller would see it joined with the first event of the next
+    # server.
     entry, servers = start(
         made, streams(1, 5, "mid-event"), streams(1, 5, "mid-event")
     )
@@ -191,23 +196,23 @@
     made.knows(entry, whole)
     for number in range(3):
         reply = made.call(entry, "POST", "/chat/", f"r{number}", body=b"{}")
-        found = pieces(reply)
+        found = event_ids(reply)
         expected = [f"id: {place}" for place in range(1, len(found) + 1)]
         assert found == expected
         assert reply.whole == (len(found) == 9)
 
 
-def test_a_stream_that_may_not_be_repeated_is_cut_visibly(made):
+def test_a_stream_that_may_not_be_repeated_is_visibly_truncated(made):
     entry, (server,) = start(made, streams(1, 3, "close"))
     reply = made.call(entry, "POST", "/report/", body=b"{}")
-    assert pieces(reply) == ["id: 1", "id: 2", "id: 3"]
+    assert event_ids(reply) == ["id: 1", "id: 2", "id: 3"]
     assert not reply.whole
     assert len(server.ran) == 1
 
 
 def test_a_server_stops_when_the_caller_has_left(made):
-    # A caller closes its connection while the engine still reads the prompt.
-    # Without a word the engine would work for nobody for many seconds.
+    # A caller closes its connection while the engine still processes the
+    # prompt.  Unless it is told, the engine goes on for many seconds in vain.
     stopped = []
 
     def waits(server, sock, head):
@@ -284,8 +289,8 @@
     ],
 )
 def test_a_request_inside_another_never_reaches_a_server(made, framing):
-    # Two readers see the end of the first request at different places: what
-    # one takes for its body, the other runs as a request of its own.
+    # Request smuggling: two parsers disagree on where the first request ends,
+    # so what one reads as its body the other runs as a second request.
     entry, (server,) = start(made, answers())
     sock = made.connect(entry)
     sock.sendall(
@@ -298,9 +303,10 @@
     assert not server.ran
 
 
-def test_a_server_in_place_of_another_is_told_apart(made):
-    # A server crashes and another starts at its address.  The record of the
-    # first is still held; its requests are answered 421 and go elsewhere.
+def test_a_server_that_replaced_another_is_distinguished(made):
+    # A server crashes and another starts at its address while the record of
+    # the first is still valid.  The new one answers 421 to requests for the
+    # first, and they are retried at other servers.
     def other(server, sock, head):
         sock.sendall(
             platform_world.whole(421, b"", platform_world.id_of(head))
@@ -333,5 +339,5 @@
     entry.begin_drain()
     assert made.ready(entry) == 503
     reply = platform_world.Reply(platform_world.read_to_end(sock))
-    assert len(pieces(reply)) == 20
+    assert len(event_ids(reply)) == 20
     assert reply.whole
--- a/tests/cover/test_resource_api.py
+++ b/tests/cover/test_resource_api.py
@@ -1,4 +1,4 @@
-"""The resource API over three keepers and an instance without a disk."""
+"""The resource API on three keepers and an instance without a disk."""
 
 import contextlib
 
@@ -31,7 +31,7 @@
 
 @pytest.fixture(scope="module")
 def shared():
-    """Give a world to the tests that stop none of its instances."""
+    """Yield a world shared by the tests that stop none of its instances."""
     with keepers() as made:
         yield made
 
@@ -59,8 +59,8 @@
 
 
 def test_of_writes_against_one_version_exactly_one_wins(shared):
-    # Two operators read the same version and both write on top of it, at
-    # different instances at the same moment.
+    # Four operators read the same version and write concurrently, each at
+    # another instance, on condition that the version is unchanged.
     made = shared
     servers = [api_of(item) for item in made.instances]
     held = servers[0].put("backendpools", "p", model(0))
@@ -76,18 +76,18 @@
     for _ in range(5):
         version = held["version"]
         jobs = [gevent.spawn(attempt, number) for number in range(4)]
-        ends = [job.get() for job in jobs]
-        winners = [item for item in ends if isinstance(item, dict)]
+        outcomes = [job.get() for job in jobs]
+        winners = [item for item in outcomes if isinstance(item, dict)]
         assert len(winners) == 1
-        assert ends.count(409) == 3
+        assert outcomes.count(409) == 3
         held = winners[0]
     world.wait_until(lambda: made.in_force(held["version"]))
     assert servers[3].get("backendpools", "p")["spec"] == held["spec"]
 
 
 def test_resend_after_a_lost_answer_returns_the_first_result():
-    # The answer is lost, all keepers restart, another writes in between;
-    # the resend must neither undo that write nor be refused.
+    # The answer to a write is lost, another write follows, and all keepers
+    # restart.  The resend must neither undo the other write nor be refused.
     with keepers() as made:
         first = api_of(made.instances[0])
         change_1 = change(put("backendpools", "p", model(1)))
@@ -129,8 +129,8 @@
 
 
 def test_watch_resumes_elsewhere_without_gap_or_repetition(shared):
-    # The instance that a watch runs on stops; the watch goes on at another
-    # from the version of its last line.
+    # A watch ends, as it does when its instance stops, and resumes at another
+    # instance from the version of its last line.
     made = shared
     servers = [api_of(item) for item in made.instances]
     seen = []
@@ -150,7 +150,7 @@
     assert seen == [f"m{number}" for number in range(6)]
 
 
-def test_rollback_is_a_new_change_and_spares_what_it_need_not_touch(shared):
+def test_rollback_is_a_new_change_and_keeps_unaffected_objects(shared):
     made = shared
     server = api_of(made.instances[2])
     kept = server.put("backendpools", "kept", model(0))
@@ -164,8 +164,8 @@
     held = server.get("backendpools", "r")
     assert held["spec"]["select"]["model"] == "m1"
     assert held["version"] == done["version"]
-    spared = server.get("backendpools", "kept")
-    assert spared["version"] == kept["version"]
+    untouched = server.get("backendpools", "kept")
+    assert untouched["version"] == kept["version"]
 
 
 def test_keepers_are_changed_by_the_leader_through_any_instance(shared):
@@ -177,11 +177,11 @@
     assert "has not shown itself as an instance with a disk" in exc.message
 
 
-def test_without_a_majority_a_write_says_not_run_and_that_is_true(
+def test_without_a_majority_a_write_is_refused_and_never_applied(
     monkeypatch,
 ):
-    # Two of three keepers are gone.  The write is refused in bounded time,
-    # reads go on, and when a keeper is back the write is not there.
+    # Two of three keepers are stopped.  The write is refused in bounded time,
+    # reads still work, and the write is not found once a keeper is back.
     monkeypatch.setattr(quorum_log_proposals, "UNSENT_SECONDS", 1.0)
     with keepers() as made:
         server = api_of(made.instances[0])
--- a/tests/cover/test_silent_servers.py
+++ b/tests/cover/test_silent_servers.py
@@ -1,4 +1,4 @@
-"""Servers that fall silent with a request at work."""
+"""Servers that fall silent while they work on a request."""
 
 import gevent
 import gevent.event
@@ -26,7 +26,7 @@
 
 
 def silent_after(last):
-    """Return a script that sends events up to ``last`` and nothing more."""
+    """Return a script that sends events up to ``last``, then nothing."""
     begin = test_forwarding.streams(1, last, "open")
 
     def script(server, sock, head):
@@ -37,7 +37,7 @@
     return script
 
 
-def mute(server, sock, head):
+def never_answers(server, sock, head):
     gevent.sleep(10.0)
 
 
@@ -48,10 +48,11 @@
 
 
 def served_by_both(made, script, whole, path):
-    """Return the replies to requests of which the first meets ``script``.
+    """Return two servers and the replies to four requests.
 
-    Its server alone is known until it has the request: between two that are
-    idle a draw decides, and four requests in a row may all pass one by.
+    The first request goes to the server that runs ``script``: the other
+    server is added only once it has been received.  Between two idle servers
+    the choice is random, and all four requests might miss one of them.
     """
     entry = made.entry()
     first = made.server(script)
@@ -72,29 +73,29 @@
 
 @pytest.mark.parametrize("last", [0, 3])
 def test_a_stream_goes_on_when_its_server_falls_silent(made, last):
-    # A failure domain is cut off with streams under way: their connections
-    # stay open and nothing comes any more.  A caller waited until its time
-    # was up, though another server could go on after the last event.
+    # A failure domain is partitioned while it serves streams: the connections
+    # stay open and nothing arrives.  Callers waited until their deadline,
+    # although another server could resume after the last event.
     servers, replies = served_by_both(
         made, silent_after(last), test_forwarding.streams(1, 9), "/chat/"
     )
     assert servers[0].ran
     for reply in replies:
         expected = [f"id: {place}" for place in range(1, 10)]
-        assert test_forwarding.pieces(reply) == expected
+        assert test_forwarding.event_ids(reply) == expected
         assert reply.whole
 
 
-def test_a_lost_answer_is_asked_for_elsewhere(made):
-    # A server runs a lookup and its answer is lost on the way.
-    servers, replies = served_by_both(made, mute, answers, "/read/")
+def test_a_request_whose_answer_is_lost_is_hedged_elsewhere(made):
+    # A server runs a lookup and its answer is lost on the network.
+    servers, replies = served_by_both(made, never_answers, answers, "/read/")
     assert servers[0].ran
     assert [reply.status for reply in replies] == [200] * 4
 
 
-def test_what_may_run_once_is_waited_for(made):
+def test_a_request_that_may_run_only_once_is_waited_for(made):
     # A report that may not be repeated pauses for longer than its route
-    # allows: it is late, and it is the only one there will ever be.
+    # allows.  It is late, but no other attempt at it can be made.
     def pauses(server, sock, head):
         sock.sendall(platform_world.stream_head(platform_world.id_of(head)))
         for number in (1, 2):
@@ -109,11 +110,11 @@
 
 def test_an_engine_that_goes_on_with_a_stream_is_not_counted_as_reading(made):
     entry = made.entry()
-    ends = gevent.event.Event()
+    may_end = gevent.event.Event()
 
     def breaks_off(server, sock, head):
         test_forwarding.streams(1, 3, "close")(server, sock, head)
-        ends.wait()
+        may_end.wait()
         return "close"
 
     first = made.server(breaks_off)
@@ -128,7 +129,7 @@
     world.wait_until(lambda: first.ran)
     second = made.server(silent_after(6))
     made.knows(entry, second)
-    ends.set()
+    may_end.set()
     world.wait_until(lambda: second.ran)
     gevent.sleep(0.1)
     (load,) = entry.host.reducer.policy.own_loads()
