--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/callers.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/callers.py
@@ -169,7 +169,7 @@
             class_name=environ.get("HTTP_X_REQUEST_CLASS", ""),
             timeout=_requested_timeout(environ),
             idempotency_key=environ.get("HTTP_IDEMPOTENCY_KEY", ""),
-            body_digest=_body_digest(environ, body),
+            body_digest=_request_digest(environ, body),
         )
 
     def _relay(self, environ, event, call, start_response):
@@ -195,7 +195,7 @@
         )
 
 
-def _body_digest(environ, body):
+def _request_digest(environ, body):
     """Return a digest of the whole request.
 
     It tells a resend from a different request with the same idempotency key.
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/watches.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/watches.py
@@ -1,8 +1,8 @@
 """Watches: streams of changes to objects, as JSON lines.
 
-Each line carries the version of its change.  An interrupted watch can resume
-from that version, on this instance or another, without missing or repeating
-a change.
+Each line carries the version that the watch has reached.  An interrupted
+watch can resume from that version, on this instance or another, without
+missing or repeating a change.
 """
 
 import urllib.parse
