--- a/packages/dandeliontrail-node/src/dandeliontrail_node/calls.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/calls.py
@@ -1,4 +1,4 @@
-"""What is sent on for a caller's request, and how it is continued."""
+"""Builds the requests that are sent to backend servers."""
 
 import msgspec
 
@@ -16,66 +16,67 @@
 
 
 class GenerationCall:
-    """A generation request and how to send it on."""
+    """A caller's generation request, to be sent to engines."""
 
-    def __init__(self, path, raw, streamed):
+    def __init__(self, path, fields, streamed):
         self._path = path
-        self._raw = raw
+        self._fields = fields
         self.streamed = streamed
         self.generation = True
 
     @property
     def chat(self):
-        """Tell whether it is a chat and not a plain completion."""
+        """Whether it is a chat and not a plain completion."""
         return self._path == CHAT_PATH
 
-    def outgoing(self, dispatch):
-        """Return what is sent, with the priority in the body."""
-        return self._outgoing(dispatch, self._raw)
+    def request_for(self, dispatch):
+        """Return the request for an engine, with the priority in its body."""
+        return self._new_request(dispatch, self._fields)
 
     def continuation(self, dispatch, text, events):
-        """Return what asks for the text after ``text``, or ``None``.
+        """Return a request for the rest after ``text``, or ``None``.
 
-        The text so far goes into the prompt, so that another engine's
-        sampling goes on from it; ``events`` shortens the tokens asked for.
+        The text so far goes into the prompt, so that another engine continues
+        from it; the token limit is reduced by ``events``. Returns ``None`` if
+        the prompt is not a plain string.
         """
-        raw = dict(self._raw)
-        if self.chat and "messages" in raw:
+        fields = dict(self._fields)
+        if self.chat and "messages" in fields:
             messages = msgspec.json.decode(
-                raw["messages"], type=list[msgspec.Raw]
+                fields["messages"], type=list[msgspec.Raw]
             )
-            last = msgspec.Raw(msgspec.json.encode(Message(text)))
-            raw["messages"] = _raw([*messages, last])
-            raw["continue_final_message"] = _raw(True)
-            raw["add_generation_prompt"] = _raw(False)
-        elif not self._continue_prompt(raw, text):
+            assistant_message = msgspec.Raw(msgspec.json.encode(Message(text)))
+            fields["messages"] = _encode([*messages, assistant_message])
+            fields["continue_final_message"] = _encode(True)
+            fields["add_generation_prompt"] = _encode(False)
+        elif not self._continue_prompt(fields, text):
             return None
         for name in ("max_tokens", "max_completion_tokens"):
-            if name in raw:
-                left = msgspec.json.decode(raw[name]) - events
-                raw[name] = _raw(max(1, left))
-        return self._outgoing(dispatch, raw)
+            if name in fields:
+                remaining = msgspec.json.decode(fields[name]) - events
+                fields[name] = _encode(max(1, remaining))
+        return self._new_request(dispatch, fields)
 
-    def _continue_prompt(self, raw, text):
-        prompt = msgspec.json.decode(raw.get("prompt", b"null"))
+    def _continue_prompt(self, fields, text):
+        prompt = msgspec.json.decode(fields.get("prompt", b"null"))
         if not isinstance(prompt, str):
             return False
-        raw["prompt"] = _raw(prompt + text)
+        fields["prompt"] = _encode(prompt + text)
         return True
 
-    def _outgoing(self, dispatch, raw):
-        raw["priority"] = msgspec.Raw(b"%d" % dispatch.priority)
+    def _new_request(self, dispatch, fields):
+        fields["priority"] = msgspec.Raw(b"%d" % dispatch.priority)
         headers = {**JSON_HEADERS, "X-Request-Id": dispatch.request_id}
-        body = msgspec.json.encode(raw)
-        return engine_client.Outgoing("POST", self._path, headers, body)
+        body = msgspec.json.encode(fields)
+        return engine_client.OutgoingRequest("POST", self._path, headers, body)
 
 
-def _raw(value):
+def _encode(value):
     return msgspec.Raw(msgspec.json.encode(value))
 
 
 class ServiceCall:
-    """A plain service's call, which is relayed as it is."""
+    """A call of a plain service, which is relayed unchanged."""
 
     streamed = False
     generation = False
@@ -86,11 +87,11 @@
         self._content_type = content_type
         self._body = body
 
-    def outgoing(self, dispatch):
-        """Return what is sent."""
+    def request_for(self, dispatch):
+        """Return the request for the service."""
         headers = {"X-Request-Id": dispatch.request_id}
         if self._content_type:
             headers["Content-Type"] = self._content_type
-        return engine_client.Outgoing(
+        return engine_client.OutgoingRequest(
             self._method, self._target, headers, self._body
         )
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/channel.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/channel.py
@@ -1,4 +1,4 @@
-"""What passes between the engine side and the caller side of a request."""
+"""The channel from a request's worker to the relay that serves its caller."""
 
 import gevent
 from gevent import queue
@@ -6,7 +6,7 @@
 
 
 class Head(msgspec.Struct):
-    """The start of an answer; ``body`` is set where it is whole."""
+    """The start of an answer; ``body`` is set if it is not streamed."""
 
     status: int
     headers: list
@@ -14,23 +14,24 @@
 
 
 class Failure(msgspec.Struct):
-    """The end without an answer; ``problem`` is what the caller is told."""
+    """The request failed; ``problem`` is the error for the caller."""
 
     problem: Exception
 
 
 END = object()
-_LOOK = object()
+_WAKE_UP = object()
 
 
 class Channel:
-    """Holds one item at most, so that a slow caller slows its own stream.
+    """A queue for a single item, so that a slow caller slows its own stream.
 
-    Once the caller side has left, what is put vanishes: a request that
-    must run to its end does so without a reader.
+    Once the reader has closed it, items are discarded: a request that must run
+    to completion does so without a reader.
 
-    The reader looks up from time to time.  One repeating timer tells it to:
-    a timer for each item would add a quarter to what passing it costs.
+    The reader wakes up at intervals to check on the caller. A single repeating
+    timer does this: a timer for each item would add a quarter to the cost of
+    passing the item.
     """
 
     __slots__ = ("_queue", "_left", "_override", "_timer")
@@ -42,40 +43,40 @@
         self._timer = None
 
     def put(self, item):
-        """Hand over an item, as soon as the one before was taken."""
+        """Pass on an item; waits until the previous one was taken."""
         if not self._left:
             self._queue.put(item)
 
     def get(self, seconds):
         """Return the next item.
 
-        Raises ``queue.Empty`` every ``seconds`` while there is none; those
-        of the first call hold until :meth:`leave`.
+        Raises ``queue.Empty`` every ``seconds`` while there is none. The
+        interval of the first call is used until :meth:`close_reader`.
         """
         if self._override is not None:
             return self._override
         if self._timer is None:
             self._timer = gevent.get_hub().loop.timer(seconds, seconds)
-            self._timer.start(self._tell_to_look)
+            self._timer.start(self._wake_reader)
         item = self._queue.get()
         if self._override is not None:
             return self._override
-        if item is _LOOK:
+        if item is _WAKE_UP:
             raise queue.Empty()
         return item
 
-    def _tell_to_look(self):
+    def _wake_reader(self):
         if self._queue.empty():
-            self._queue.put_nowait(_LOOK)
+            self._queue.put_nowait(_WAKE_UP)
 
     def end_with(self, failure):
-        """Have the reader see ``failure`` next, whatever is waiting."""
+        """Make ``failure`` the next item, ahead of any that is waiting."""
         self._override = failure
         if self._queue.empty():
             self._queue.put_nowait(failure)
 
-    def leave(self):
-        """Say that nobody reads any more."""
+    def close_reader(self):
+        """Discard the current item and all later ones."""
         self._left = True
         if self._timer is not None:
             self._timer.close()
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/connection.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/connection.py
@@ -1,143 +1,152 @@
-"""One connection to a backend server, and how long it may be silent."""
+"""Connections to backend servers, with limits on silence and on size."""
 
 import socket
 
 from gevent import socket as gevent_socket
 
-# How long a connection that nobody watches waits for the next byte.
+# How long to wait for the next byte on a connection without a monitor of its
+# own.
 DEFAULT_SECONDS = 2.0
-# A path that acknowledges nothing is found out by the kernel: idle for 5 s,
-# then three probes 2 s apart; unacknowledged data counts for 10 s.
+# The kernel detects a path that no longer acknowledges anything: after 5 s
+# without traffic it sends three probes 2 s apart; unacknowledged data times
+# out after 10 s.
 KEEPALIVE_IDLE_SECONDS = 5
 KEEPALIVE_INTERVAL_SECONDS = 2
 KEEPALIVE_PROBES = 3
-UNACKNOWLEDGED_MS = 10_000
-# A server that never ends its headers or an event would have all of it
-# gathered here.  Real events are below 1 KB.
-MOST_EVENT_BYTES = 1024 * 1024
+UNACKNOWLEDGED_TIMEOUT_MS = 10_000
+# Limits what is buffered here for a server that never ends its headers or an
+# event. Real events are below 1 KB.
+MAX_EVENT_BYTES = 1024 * 1024
 
 
 class PathLost(Exception):
-    """The old connection is dead; ``answer`` goes on over a new one.
+    """The old connection is dead; ``answer`` continues on a new one.
 
-    ``left`` is the old connection, still open: closing it may reach the
-    server late, and a server may take it for the wish to stop.
+    ``old_connection`` is still open: closing it may reach the server late, and
+    the server may take the close as a request to stop.
     """
 
     def __init__(self, answer):
-        super().__init__("path lost")
+        super().__init__(
+            "the connection is dead; the answer continues on a new one"
+        )
         self.answer = answer
-        self.left = None
+        self.old_connection = None
 
 
 class _Spent(OSError):
-    """The library asked for a second connection for one request."""
+    """The library asked for a second connection for the same request."""
 
 
-class OneConnection:
-    """Shows the library a pool that holds one connection, once.
+class SingleUsePool:
+    """A connection pool for the library that provides one connection, once.
 
-    Failure guarded against: on a stale connection the library sends a
-    GET, PUT or DELETE again by itself, up to the size of its pool and one
-    more, and a plain service runs its call as often.  Here the second
-    ``get_socket`` fails, whatever the method, and the error comes to us.
+    On a stale connection the library resends a GET, PUT or DELETE by itself,
+    as often as its pool has connections plus one, and a plain service runs the
+    call that many times. Here the second ``get_socket`` fails for every
+    method, and the error is raised to the caller of the library.
     """
 
     size = 0
 
-    def __init__(self, pool, watch):
+    def __init__(self, pool, monitor):
         self._pool = pool
-        self._watch = watch
+        self._monitor = monitor
         self.sock = pool.get_socket()
 
     def get_socket(self):
-        """Return the connection, the first time only."""
+        """Return the connection; raises on the second call."""
         sock, self.sock = self.sock, None
         if sock is None:
-            raise _Spent("the connection broke off")
-        self.paced = PacedSocket(sock, self._watch)
-        return self.paced
-
-    def return_socket(self, paced):
-        """Keep the connection for another request."""
-        paced.sock.settimeout(self._pool.network_timeout)
-        self._pool.return_socket(paced.sock)
-
-    def release_socket(self, paced):
+            raise _Spent(
+                "the connection failed; the request is not sent again"
+            )
+        self.watched_socket = WatchedSocket(sock, self._monitor)
+        return self.watched_socket
+
+    def return_socket(self, watched_socket):
+        """Return the connection to the real pool for reuse."""
+        watched_socket.sock.settimeout(self._pool.network_timeout)
+        self._pool.return_socket(watched_socket.sock)
+
+    def release_socket(self, watched_socket):
         """Close the connection."""
-        self._pool.release_socket(paced.sock)
+        self._pool.release_socket(watched_socket.sock)
 
 
 class _TooLarge(OSError):
-    """The server sent more than is gathered of one thing."""
+    """The server sent more than the limit without an end."""
 
 
-class Watch:
-    """Says how long a connection may be silent, and what is done then."""
+class SilenceMonitor:
+    """Decides how long a connection may be silent, and what happens then."""
 
-    def seconds(self):
-        """Return how long to wait for the next byte before asking."""
+    def timeout_seconds(self):
+        """Return how long to wait for the next byte before a timeout."""
         return DEFAULT_SECONDS
 
-    def silent(self):
-        """Raise if the connection is given up; return to wait on."""
+    def handle_timeout(self):
+        """Raise to give the connection up; return to continue to wait."""
         raise TimeoutError("silent")
 
 
-class PacedSocket:
-    """A connection whose reader asks a :class:`Watch` about silence.
+class WatchedSocket:
+    """A socket whose read timeouts are handled by a :class:`SilenceMonitor`.
 
-    The library closes a connection that times out.  Here a time without
-    bytes is no error yet: the stream may be slow, and is then read on.
-    ``allow`` says how many bytes more may come before an end of something
-    must have been found in them.
+    The library closes a connection that times out. Here a timeout is not yet
+    an error: the stream may be slow, and reading continues. ``set_byte_limit``
+    sets how many more bytes may arrive before the end of the current item
+    (headers, event or body) must have been found.
     """
 
-    def __init__(self, sock, watch):
+    def __init__(self, sock, monitor):
         self.sock = sock
-        self.watch = watch
-        self.allow(MOST_EVENT_BYTES)
+        self.monitor = monitor
+        self.set_byte_limit(MAX_EVENT_BYTES)
 
-    def allow(self, size):
-        """Take in up to ``size`` bytes from now on."""
-        self._left = size
+    def set_byte_limit(self, size):
+        """Allow up to ``size`` more bytes from now on."""
+        self._bytes_left = size
 
     def recv(self, size):
-        """Return the next bytes, for as long as the watch waits."""
+        """Return the next bytes, waiting for as long as the monitor allows."""
         while True:
-            self.sock.settimeout(self.watch.seconds())
+            self.sock.settimeout(self.monitor.timeout_seconds())
             try:
                 data = self.sock.recv(size)
             except TimeoutError:
-                self._ask()
+                self._handle_timeout()
                 continue
-            self._left -= len(data)
-            if self._left < 0:
-                raise _TooLarge("the server sent too much without an end")
+            self._bytes_left -= len(data)
+            if self._bytes_left < 0:
+                raise _TooLarge(
+                    "the server exceeded the size limit of one event or body"
+                )
             return data
 
-    def _ask(self):
+    def _handle_timeout(self):
         try:
-            self.watch.silent()
+            self.monitor.handle_timeout()
         except PathLost as exc:
-            # The library closes this object; the connection stays open.
-            exc.left, self.sock = self.sock, socket.socket()
+            # The library closes this object, so the connection that is to stay
+            # open is replaced by a dummy socket.
+            exc.old_connection, self.sock = self.sock, socket.socket()
             raise
 
     def sendall(self, data):
-        """Send, with the timeout of the pool."""
+        """Send all of ``data``, with the timeout of the pool."""
         self.sock.sendall(data)
 
     def sendfile(self, body):
-        """Send what the library takes for a file."""
+        """Send a body that the library takes to be a file."""
         self.sock.sendfile(body)
 
 
 def connect(address, seconds):
-    """Return a socket connected to ``host:port`` within so many seconds.
+    """Return a socket connected to ``host:port`` within ``seconds``.
 
-    An address that is a number already is not looked up: gevent asks its
-    thread pool, which takes two changes of thread and the wait for them.
+    A numeric address is not looked up: gevent's resolver runs in a thread
+    pool, which costs two thread switches and the wait for them.
     """
     host, port = address.rsplit(":", 1)
     host = host.strip("[]")
@@ -168,13 +177,13 @@
 
 
 def watch_path(sock):
-    """Have the kernel find out a path that lost track of a connection."""
+    """Enable the kernel's detection of a connection whose path is lost."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
         (socket.TCP_NODELAY, 1),
         (socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS),
         (socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS),
         (socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
-        (socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
+        (socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS),
     ):
         sock.setsockopt(socket.IPPROTO_TCP, option, value)
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/engine_client.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/engine_client.py
@@ -1,8 +1,8 @@
 """Sends requests to backend servers and reads their answers.
 
-What this module must get right is when a request *may have begun*: from
-the moment before the first byte is written.  Only a failure to connect, or
-the server's own ``X-Outcome: not-run``, proves that it did not.
+The main concern of this module is to tell when a request *may have begun*:
+from just before its first byte is written. Only a failure to connect, or the
+server's own ``X-Outcome: not-run``, proves that it did not begin.
 """
 
 import copy
@@ -18,18 +18,23 @@
 
 CONNECTIONS_PER_SERVER = 512
 NOT_RUN_STATUSES = (429, 503)
-CANCEL_SECONDS = 2.0
+CANCEL_TIMEOUT_SECONDS = 2.0
 PROBE_SECONDS = 2.0
 EVENT_END = b"\n\n"
 # Real answers are below 1 MB.
-MOST_ANSWER_BYTES = 64 * 1024 * 1024
-FAILURES = (OSError, gevent.Timeout, geventhttpclient.response.HTTPParseError)
+MAX_ANSWER_BYTES = 64 * 1024 * 1024
+CONNECTION_ERRORS = (
+    OSError,
+    gevent.Timeout,
+    geventhttpclient.response.HTTPParseError,
+)
 
 
 class Probe(enum.Enum):
-    """What a probe over a new connection found.
+    """The result of a health check over a new connection.
 
-    ``REFUSES`` means that nothing listens there any more.
+    ``REFUSES`` means that the connection was refused: no process listens there
+    any more.
     """
 
     ANSWERS = "answers"
@@ -38,7 +43,7 @@
 
 
 class NotBegun(Exception):
-    """The server certainly did not begin; ``server_said`` tells how."""
+    """The server did not begin; ``server_said`` if it reported so itself."""
 
     def __init__(self, server_said, retry_after=0.0):
         super().__init__("not begun")
@@ -47,10 +52,10 @@
 
 
 class Broken(Exception):
-    """The exchange broke off after the server may have begun.
+    """The exchange failed after the server may have begun.
 
-    ``closed`` tells that the connection ended, as it does where the server
-    ends.
+    ``closed`` is true if the connection was closed, as it is when the server
+    process ends.
     """
 
     def __init__(self, text, closed=False):
@@ -59,11 +64,11 @@
 
 
 class NotHeld(Broken):
-    """The server says that it does not know the stream."""
+    """The server answered that it does not know the stream."""
 
 
-class Outgoing:
-    """One request on its way to a server."""
+class OutgoingRequest:
+    """An HTTP request to be sent to a backend server."""
 
     __slots__ = ("method", "path", "headers", "body")
 
@@ -74,25 +79,25 @@
         self.body = body
 
 
-class Answer:
-    """A server's answer: its status and headers, the body still to come."""
+class ServerResponse:
+    """A backend server's status and headers, with the body still unread."""
 
-    def __init__(self, response, paced):
+    def __init__(self, response, watched_socket):
         self._response = response
-        self._paced = paced
+        self._watched_socket = watched_socket
         self.status = response.status_code
 
     def get(self, name):
-        """Return a header, or ``None``."""
+        """Return the value of a header, or ``None``."""
         value = self._response.get(name)
         return value[0] if isinstance(value, list) else value
 
     @property
-    def framed(self):
-        """Tell whether the answer's end can be told from a cut.
+    def self_delimited(self):
+        """Whether the end of the body can be told from a truncation.
 
-        A body that ends with the connection (RFC 9112, section 6.3) looks
-        whole wherever it is cut.
+        A body that is delimited by the close of the connection (RFC 9112,
+        section 6.3) looks complete wherever it is cut.
         """
         if self._response.message_complete:
             return True
@@ -102,106 +107,114 @@
     def read_event(self):
         """Return the next event of a stream, or ``b""`` at its end.
 
-        Raises :class:`Broken` where the connection ended before the answer
-        did: the parser takes the end of a connection for the end of an
-        answer only where the answer had no length of its own.
+        Raises :class:`Broken` if the connection ended before the answer did:
+        the parser accepts the end of a connection as the end of an answer only
+        if the answer did not declare a length.
         """
-        self._paced.allow(connection.MOST_EVENT_BYTES)
+        self._watched_socket.set_byte_limit(connection.MAX_EVENT_BYTES)
         try:
             return self._response.readline(EVENT_END)
-        except FAILURES as exc:
-            raise _broken(exc)
+        except CONNECTION_ERRORS as exc:
+            raise _broken_error(exc)
 
     def read_all(self):
         """Return the whole body; raises as :meth:`read_event` does."""
-        self._paced.allow(MOST_ANSWER_BYTES)
+        self._watched_socket.set_byte_limit(MAX_ANSWER_BYTES)
         try:
             return self._response.read()
-        except FAILURES as exc:
-            raise _broken(exc)
+        except CONNECTION_ERRORS as exc:
+            raise _broken_error(exc)
 
     def close(self):
-        """End the exchange; an unfinished answer closes its connection."""
+        """Release the connection; it is closed if the answer is unfinished."""
         self._response.release()
 
 
 class PooledEngineClient(interfaces.EngineClient):
-    """Keeps connections open to every server that it has talked to."""
+    """An HTTP client with a pool of connections for each backend server."""
 
     def __init__(self, connect_seconds, silent_seconds):
         self._connect_seconds = connect_seconds
         self._silent_seconds = silent_seconds
         self._clients = {}
-        self._learnt = set()
+        self._resume_checked = set()
         self._resumable = set()
 
     def open(self, dispatch, exchange):
-        """Send ``exchange`` (an :class:`Outgoing`) and return the answer.
+        """Send ``exchange`` (an :class:`OutgoingRequest`); return the answer.
 
         ``dispatch.began()`` is called before the first byte is written;
-        ``dispatch.watch`` is the :class:`.connection.Watch` of the connection.
+        ``dispatch.monitor`` is the :class:`.connection.SilenceMonitor` of the
+        connection. Raises :class:`NotBegun` or :class:`Broken`.
         """
         client = self._client(dispatch.url)
-        pool = self._connect(client, dispatch.watch)
+        pool = self._connect(client, dispatch.monitor)
         dispatch.began()
         try:
             response = self._send(client, pool, exchange)
-            answer = Answer(response, pool.paced)
-        except FAILURES as exc:
-            raise _broken(exc)
+            answer = ServerResponse(response, pool.watched_socket)
+        except CONNECTION_ERRORS as exc:
+            raise _broken_error(exc)
         _check_not_run(answer)
         return answer
 
-    def resume(self, url, request_id, start, watch):
-        """Return the rest of a stream from event ``start``, or raise.
+    def resume(self, url, request_id, first_event, monitor):
+        """Return the stream from event number ``first_event`` on.
 
-        It goes over a new connection: the old ones may be what failed.
-        Once the server has agreed, ``watch`` watches it.
+        The request uses a new connection, since the pooled ones may be what
+        failed. ``monitor`` takes effect once the server has accepted the
+        request. Raises :class:`NotHeld` if the server does not know the
+        stream, else :class:`Broken`.
         """
         client = self._new_client(url)
-        path = f"/v1/streams/{request_id}?from={start}"
+        path = f"/v1/streams/{request_id}?from={first_event}"
         try:
-            pool = connection.OneConnection(
-                client._connection_pool, connection.Watch()
+            pool = connection.SingleUsePool(
+                client._connection_pool, connection.SilenceMonitor()
             )
-            outgoing = Outgoing("GET", path, {})
+            outgoing = OutgoingRequest("GET", path, {})
             response = self._send(client, pool, outgoing)
-            answer = Answer(response, pool.paced)
-            pool.paced.watch = watch
-        except FAILURES as exc:
-            raise _broken(exc)
+            answer = ServerResponse(response, pool.watched_socket)
+            pool.watched_socket.monitor = monitor
+        except CONNECTION_ERRORS as exc:
+            raise _broken_error(exc)
         if answer.status == 404:
             answer.close()
             raise NotHeld("the server does not know the stream")
         if answer.status != 200:
             answer.close()
-            raise Broken(f"it is not resumed: status {answer.status}")
+            raise Broken(
+                f"the server did not resume the stream: status {answer.status}"
+            )
         return answer
 
-    def learn(self, url, request_id, streamed):
-        """Find out, once, whether a server knows its streams by name.
+    def check_resumable(self, url, request_id, streamed):
+        """Find out, once per server, whether it can resume its streams.
 
-        It is asked for one that has just ended, which asking cannot harm.
-        ``streamed`` tells those from answers that were given whole.
+        The server is asked to resume a stream that has just ended, which has
+        no side effects. ``streamed`` distinguishes streams from answers that
+        were given whole.
         """
-        if (url, streamed) in self._learnt:
+        if (url, streamed) in self._resume_checked:
             return
-        self._learnt.add((url, streamed))
-        gevent.spawn(self._learn, url, request_id, streamed)
+        self._resume_checked.add((url, streamed))
+        gevent.spawn(self._check_resumable, url, request_id, streamed)
 
-    def _learn(self, url, request_id, streamed):
+    def _check_resumable(self, url, request_id, streamed):
         try:
-            self.resume(url, request_id, 0, connection.Watch()).close()
+            self.resume(
+                url, request_id, 0, connection.SilenceMonitor()
+            ).close()
         except Broken:
             return
         self._resumable.add((url, streamed))
 
-    def resumable(self, url, streamed):
-        """Tell whether a server is known to know its streams by name."""
+    def is_resumable(self, url, streamed):
+        """Whether a server is known to be able to resume its streams."""
         return (url, streamed) in self._resumable
 
     def probe(self, url):
-        """Return what a server says over a new connection."""
+        """Send a health check over a new connection and return its result."""
         client = self._new_client(url)
         try:
             with gevent.Timeout(PROBE_SECONDS):
@@ -209,36 +222,36 @@
                 return Probe.ANSWERS
         except ConnectionRefusedError:
             return Probe.REFUSES
-        except FAILURES:
+        except CONNECTION_ERRORS:
             return Probe.SILENT
         finally:
             client.close()
 
-    def retire(self, url):
-        """Use no connection to ``url`` again that is open now.
+    def retire_connections(self, url):
+        """Stop using the connections to ``url`` that are open now.
 
-        Those in use are closed as their answers end.
+        Those that are in use are closed when their answers end.
         """
         client = self._clients.pop(url, None)
         if client:
             client.close()
 
     def _send(self, client, pool, outgoing):
-        single = copy.copy(client)
-        single._connection_pool = pool
-        return single.request(
+        single_use_client = copy.copy(client)
+        single_use_client._connection_pool = pool
+        return single_use_client.request(
             outgoing.method, outgoing.path, outgoing.body, outgoing.headers
         )
 
-    def _connect(self, client, watch):
+    def _connect(self, client, monitor):
         """Return a live connection to the server of ``client``.
 
-        Connecting first, and apart from sending, is what lets a refused
-        connection be told from a request that broke off: the library's own
+        Connecting separately, before sending, distinguishes a refused
+        connection from a request that failed midway: the library's own
         ``request`` reports both as a socket error.
         """
         try:
-            return connection.OneConnection(client._connection_pool, watch)
+            return connection.SingleUsePool(client._connection_pool, monitor)
         except (OSError, gevent.Timeout, RuntimeError):
             raise NotBegun(server_said=False)
 
@@ -260,12 +273,12 @@
         return client
 
     def cancel(self, url, request_id):
-        """Ask a server to stop; best effort, since it may be gone."""
+        """Ask a server to stop, as best effort: it may be unreachable."""
         client = self._client(url)
         try:
-            with gevent.Timeout(CANCEL_SECONDS):
+            with gevent.Timeout(CANCEL_TIMEOUT_SECONDS):
                 client.delete(f"/v1/streams/{request_id}").read()
-        except FAILURES:
+        except CONNECTION_ERRORS:
             return
 
     def close(self):
@@ -280,10 +293,10 @@
     if answer.get("X-Outcome") != "not-run":
         return
     answer.close()
-    raise NotBegun(True, _seconds(answer.get("Retry-After")))
+    raise NotBegun(True, _parse_retry_after(answer.get("Retry-After")))
 
 
-def _seconds(text):
+def _parse_retry_after(text):
     """Return a delay in seconds; a date (RFC 9110, 10.2.3) counts as 1."""
     try:
         return max(0.0, float(text or 0.0))
@@ -291,9 +304,9 @@
         return 1.0
 
 
-def _broken(exc):
-    """Return how an exchange broke off, by a failure of its connection."""
-    # The parser fails where a connection ends in the middle of an answer.
+def _broken_error(exc):
+    """Return the ``Broken`` for a failure of the connection."""
+    # The parser raises if a connection ends in the middle of an answer.
     closed = isinstance(
         exc, (ConnectionError, geventhttpclient.response.HTTPParseError)
     )
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/exchange.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/exchange.py
@@ -1,4 +1,4 @@
-"""The link between one caller's request and the reducer."""
+"""The connection between one caller's request and the reducer."""
 
 from gevent import queue
 import msgspec
@@ -6,8 +6,8 @@
 from . import channel as channel_module
 
 
-class Fault(msgspec.Struct):
-    """Put in the mailbox when the reducer failed on this request."""
+class ReducerFault(msgspec.Struct):
+    """An entry in the mailbox: the reducer failed on this request."""
 
     request_id: str
 
@@ -15,8 +15,8 @@
 class Exchange:
     """A mailbox of effects for the greenlet that works on one request.
 
-    ``worker`` is that greenlet; ``channel`` leads on to the caller.  The
-    exchange is open until both of its sides have left.
+    ``worker`` is that greenlet; ``channel`` passes its output to the caller.
+    The exchange is open until both of its ``sides`` have detached.
     """
 
     __slots__ = ("request_id", "channel", "worker", "sides", "_mailbox")
@@ -29,12 +29,12 @@
         self._mailbox = queue.SimpleQueue()
 
     def put(self, effect):
-        """Hand an effect to the greenlet."""
+        """Put an effect into the mailbox."""
         self._mailbox.put(effect)
 
     def fault(self):
-        """Tell the greenlet that no answer will come."""
-        self._mailbox.put(Fault(self.request_id))
+        """Tell the worker that the reducer failed and sends nothing more."""
+        self._mailbox.put(ReducerFault(self.request_id))
 
     def get(self):
         """Wait for the next effect."""
@@ -45,11 +45,11 @@
         return None if self._mailbox.empty() else self._mailbox.get()
 
     def abandon(self):
-        """Stop the greenlet: nobody waits for its answer any more."""
+        """Kill the worker: nobody waits for its answer any more."""
         if self.worker is not None:
             self.worker.kill(block=False)
 
     def end_with(self, problem):
-        """Tell the caller ``problem`` now, whatever is going on."""
+        """Send ``problem`` to the caller now and kill the worker."""
         self.channel.end_with(channel_module.Failure(problem))
         self.abandon()
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/face.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/face.py
@@ -1,4 +1,4 @@
-"""What an instance shows to the outside, beside its peer listener."""
+"""The external interface of an instance, besides its peer listener."""
 
 import abc
 import contextlib
@@ -13,9 +13,9 @@
 
 
 class Listener(msgspec.Struct):
-    """One address and the WSGI application that answers there.
+    """An address and the WSGI application that serves it.
 
-    ``limits`` are its own bounds on callers, else those of the settings.
+    ``limits`` are its own limits on clients; the settings apply by default.
     """
 
     name: str
@@ -25,9 +25,9 @@
 
 
 class Inner(msgspec.Struct):
-    """What listeners need of the instance that they belong to.
+    """The parts of an instance that its listeners use.
 
-    ``stack`` closes with the instance; ``on_term`` starts its drain.
+    ``stack`` is closed with the instance; ``on_term`` starts its drain.
     """
 
     cfg: settings.Settings
@@ -44,15 +44,15 @@
 
     @abc.abstractmethod
     def listeners(self, inner):
-        """Return the :class:`Listener` objects beside that for peers."""
+        """Return the :class:`Listener` objects, except the peer listener."""
 
     def reducer_options(self):
         """Return keyword arguments for ``dandeliontrail.new_reducer``."""
         return {}
 
     def reloadable(self):
-        """Return what has a ``reload()`` to be called on SIGHUP."""
+        """Return the objects whose ``reload()`` is to be called on SIGHUP."""
         return []
 
     def reloaded(self, host):
-        """Bring into force what else may have changed in the settings."""
+        """Apply other settings that may have changed, after a reload."""
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/hedge.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/hedge.py
@@ -1,8 +1,8 @@
-"""A second attempt beside one whose server is silent.
+"""Runs a second attempt (a hedge) while the server of the first is silent.
 
-Guards against the end of an answer that its server would still give: the
-silent one is read on, and is let go only once the other one has something new
-for the caller.  The reader of the silent one looks in from time to time.
+The silent server may still finish its answer, so the first attempt is kept
+until the hedge has new output for the caller. The greenlet that reads the
+first attempt calls :meth:`Hedge.poll` from time to time.
 """
 
 import gevent
@@ -13,7 +13,7 @@
 from . import engine_client
 from . import transcript
 
-FAILURES = (
+ATTEMPT_ERRORS = (
     engine_client.NotBegun,
     engine_client.Broken,
     transcript.Diverged,
@@ -21,42 +21,43 @@
 
 
 class Overtaken(Exception):
-    """The other server has something new; ``reading`` goes on from there."""
+    """The hedge has new output; ``reader`` is the attempt to continue with."""
 
-    def __init__(self, reading):
+    def __init__(self, reader):
         super().__init__("overtaken")
-        self.reading = reading
+        self.reader = reader
 
 
 class Hedge:
-    """Follows the reducer's dispatch of one more attempt.
+    """Runs one more attempt as the reducer dispatches it.
 
-    ``is_current`` tells whether a dispatch still stands, ``read`` makes the
-    :class:`.reading.Reading` of one, ``failed`` is called with a reading and
-    what ended it.
+    ``is_current`` tells whether a dispatch is still valid, ``new_reader``
+    returns the :class:`.reading.ResponseReader` for a dispatch, and
+    ``on_failure`` is called with a reader and the exception that ended it.
     """
 
-    def __init__(self, exchange, is_current, read, failed):
+    def __init__(self, exchange, is_current, new_reader, on_failure):
         self._exchange = exchange
         self._is_current = is_current
-        self._read = read
-        self._failed = failed
-        self._reading = None
+        self._new_reader = new_reader
+        self._on_failure = on_failure
+        self._reader = None
         self._greenlet = None
-        self._ended = gevent_event.Event()
+        self._done = gevent_event.Event()
         self._error = None
 
-    def look(self):
-        """Raise :class:`Overtaken` once the other server has something.
+    def poll(self):
+        """Raise :class:`Overtaken` once the hedge has output.
 
-        Returns an effect that is not about the hedge, for its own reader.
+        Returns an effect that does not concern the hedge, for the caller to
+        handle.
         """
-        if self._ended.is_set():
-            self.result()
+        if self._done.is_set():
+            self.wait()
         effect = self._exchange.poll()
         if isinstance(effect, effects.Dispatch):
             if self._is_current(effect):
-                self._begin(effect)
+                self._start(effect)
             return None
         if isinstance(effect, effects.Withdraw):
             self.close()
@@ -64,39 +65,39 @@
         return effect
 
     @property
-    def reading(self):
-        """The attempt that is under way, or ``None``."""
-        return self._reading
-
-    def result(self):
-        """Wait until the other server has something, or has failed."""
-        self._ended.wait()
-        reading, self._reading = self._reading, None
-        self._ended.clear()
+    def reader(self):
+        """The reader of the hedge that is running, or ``None``."""
+        return self._reader
+
+    def wait(self):
+        """Wait until the hedge has output (``Overtaken``) or has failed."""
+        self._done.wait()
+        reader, self._reader = self._reader, None
+        self._done.clear()
         if self._error is None:
-            raise Overtaken(reading)
-        reading.close()
-        if not isinstance(self._error, FAILURES):
+            raise Overtaken(reader)
+        reader.close()
+        if not isinstance(self._error, ATTEMPT_ERRORS):
             raise self._error
-        self._failed(reading, self._error)
+        self._on_failure(reader, self._error)
 
     def close(self):
-        """Let go of the other server."""
-        if self._reading is None:
+        """Cancel the hedge."""
+        if self._reader is None:
             return
         self._greenlet.kill(block=False)
-        self._reading.close()
-        self._reading = None
-        self._ended.clear()
+        self._reader.close()
+        self._reader = None
+        self._done.clear()
 
-    def _begin(self, dispatch):
-        self._reading = self._read(dispatch)
+    def _start(self, dispatch):
+        self._reader = self._new_reader(dispatch)
         self._error = None
-        self._greenlet = gevent.spawn(self._run, self._reading)
+        self._greenlet = gevent.spawn(self._run, self._reader)
 
-    def _run(self, reading):
+    def _run(self, reader):
         try:
-            reading.keep(reading.next())
+            reader.push_back(reader.next_output())
         except Exception as exc:
             self._error = exc
-        self._ended.set()
+        self._done.set()
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/http_server.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/http_server.py
@@ -1,17 +1,18 @@
-"""The HTTP server of every listener: gevent's, with bounds on each caller.
+"""The HTTP server of every listener: gevent's, with limits per connection.
 
-What a caller can cost is bounded before any application code runs:
+The resources that a client can use are limited before any application code
+runs:
 
-* a connection that sends nothing is closed after ``idle_seconds``;
-* a request whose head comes in drops (the *slow loris*) is answered 408
-  after ``header_seconds``, one whose head is too long 431;
-* a body that nobody wants to read is read on for a short while only, so
-  that the caller gets to see the answer (RFC 9112, section 9.6), and then
-  the connection is closed;
-* a caller that takes nothing of its answer for ``write_seconds`` is cut
-  off, since its engine stream would be held up for good.
+* an idle connection is closed after ``idle_seconds``;
+* a request whose head arrives too slowly (the *slow loris* attack) is answered
+  with 408 after ``header_seconds``, one whose head is too long with 431;
+* an unread request body is read on for a short time only, so that the client
+  sees the response (a lingering close: RFC 9112, section 9.6), and then the
+  connection is closed;
+* a client that accepts no part of its response for ``write_seconds`` is
+  disconnected, since it would block its engine stream forever.
 
-Each refusal is the JSON error of the contract, with a remedy.
+Each rejection is a JSON error as the HTTP API defines it, with a remedy.
 """
 
 import socket
@@ -25,8 +26,8 @@
 
 LINGER_BYTES = 1024 * 1024
 LINGER_SECONDS = 2.0
-LINGER_STEP = 16 * 1024
-JSON_HEAD = (
+LINGER_READ_BYTES = 16 * 1024
+ERROR_RESPONSE_HEAD = (
     b"HTTP/1.1 %s\r\nContent-Type: application/json\r\n"
     b"Connection: close\r\nContent-Length: %d\r\n\r\n"
 )
@@ -40,8 +41,8 @@
         self.problem = problem
 
 
-class _HeadReader:
-    """Hands the lines of a head on until there are too many bytes."""
+class _LimitedHeadReader:
+    """Returns the lines of a request's head, up to a limit in bytes."""
 
     __slots__ = ("_rfile", "_left", "_limit")
 
@@ -51,7 +52,7 @@
         self._limit = limit
 
     def readline(self, size=-1):
-        """Return the next line."""
+        """Return the next line; raises :class:`Rejected` above the limit."""
         line = self._rfile.readline(self._left + 1)
         self._left -= len(line)
         if self._left < 0:
@@ -60,7 +61,7 @@
 
 
 class _BoundedInput(pywsgi.Input):
-    """A request's body; what is left of it is discarded within bounds."""
+    """The body of a request; an unread rest is discarded within limits."""
 
     __slots__ = ("handler",)
 
@@ -69,23 +70,23 @@
             return
         self.send_100_continue_enabled = False
         with gevent.Timeout(LINGER_SECONDS, False):
-            for _ in range(LINGER_BYTES // LINGER_STEP):
-                if not self.read(LINGER_STEP):
+            for _ in range(LINGER_BYTES // LINGER_READ_BYTES):
+                if not self.read(LINGER_READ_BYTES):
                     return
-        # More is to come than anyone wants to read.
+        # The rest of the body exceeds the limits: close the connection.
         self.handler.close_connection = True
 
 
 class Handler(pywsgi.WSGIHandler):
-    """One connection of a caller."""
+    """Serves one client connection."""
 
     def handle(self):
-        """Serve the connection.
+        """Serve the connection with ``TCP_NODELAY`` set.
 
-        An answer goes out as head and body.  Without ``TCP_NODELAY`` the
-        body waits for the other end to acknowledge the head, which on a
-        connection that is kept open takes 40 ms (RFC 896 and RFC 1122,
-        section 4.2.3.2): more than the 29 ms between two tokens.
+        A response is written as a head and then a body. Without
+        ``TCP_NODELAY`` the body waits until the client has acknowledged the
+        head, which takes 40 ms on a connection that is kept open (RFC 896 and
+        RFC 1122, section 4.2.3.2): more than the 29 ms between two tokens.
         """
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         super().handle()
@@ -100,7 +101,7 @@
         return ""
 
     def read_request(self, raw_requestline):
-        """Read the head of a request within its bounds."""
+        """Read the head of a request within ``header_seconds``."""
         seconds = self.server.limits.header_seconds
         timeout = gevent.Timeout(seconds)
         try:
@@ -112,22 +113,22 @@
             raise Rejected(_head_too_slow(seconds))
 
     def MessageClass(self, rfile, seekable):
-        """Parse the lines of a head; the name is that of the base class."""
+        """Parse a request's head; the base class requires this name."""
         limit = self.server.limits.header_bytes
-        reader = _HeadReader(rfile, limit)
+        reader = _LimitedHeadReader(rfile, limit)
         headers = pywsgi.headers_factory(reader, seekable)
         _check_framing(headers)
         return headers
 
     def get_environ(self):
-        """Return the environment, with a body that is bounded."""
+        """Return the WSGI environment with a body that is bounded."""
         environ = super().get_environ()
-        plain = self.wsgi_input
+        original = self.wsgi_input
         bounded = _BoundedInput(
-            plain.rfile,
-            plain.content_length,
-            plain.socket,
-            plain.chunked_input,
+            original.rfile,
+            original.content_length,
+            original.socket,
+            original.chunked_input,
         )
         bounded.handler = self
         self.wsgi_input = bounded
@@ -139,32 +140,33 @@
         return environ
 
     def handle_one_response(self):
-        """Answer, cutting off a caller that takes nothing any more."""
+        """Send the response; disconnect a client that accepts no data."""
         self.socket.settimeout(self.server.limits.write_seconds)
         super().handle_one_response()
         if self.server.closing():
-            # Its head may have gone out before the drain began, and said
-            # nothing of an end; the next request would come past it.
+            # The head of the response may have been sent before the drain
+            # began, without ``Connection: close``. The next request would
+            # arrive on this connection although the instance is draining.
             self.close_connection = True
 
     def _sendall(self, data):
-        """Write to the caller, most often with one call of the system.
+        """Write to the client, in most cases with a single system call.
 
-        The library's way asks for the size of the socket's buffer each time:
-        twice the calls for each event of a stream.  What a
-        full buffer leaves over goes that way.
+        The base class queries the size of the socket's send buffer on each
+        write, which doubles the system calls per stream event. It is called
+        only for what does not fit into the buffer.
         """
         try:
             sent = self.socket.send(data)
         except OSError:
-            # The library's way meets the same error and takes note of it.
+            # The base class meets the same error and records it.
             sent = 0
         if sent < len(data):
             super()._sendall(data[sent:])
         self.response_length += sent
 
-    def handle_error(self, kind, exc, trace):
-        """Log a fault; a caller that is too slow or gone is none."""
+    def handle_error(self, exc_type, exc, trace):
+        """Log an exception, unless the client was too slow or disconnected."""
         if isinstance(exc, (OSError, gevent.GreenletExit, wsgi.Aborted)):
             self.close_connection = True
             return
@@ -172,23 +174,27 @@
         self._send_error_response_if_possible(500)
 
     def _handle_client_error(self, exc):
-        problem = _problem_of(exc)
+        problem = _client_error_problem(exc)
         self.server.logger.info(
             "request rejected",
             extra={"code": problem.code, "reason": problem.message},
         )
         body = wsgi.error_body(problem)
         status = wsgi.status_line(problem.status).encode()
-        return str(problem.status), JSON_HEAD % (status, len(body)) + body
+        return str(problem.status), ERROR_RESPONSE_HEAD % (
+            status,
+            len(body),
+        ) + body
 
     def log_request(self):
-        """Write nothing: the instance logs requests by their id."""
+        """Log nothing: the instance logs requests by their id."""
 
 
 class Server(pywsgi.WSGIServer):
-    """One listener.
+    """The server of one listener.
 
-    While ``closing()`` is true each connection ends with its next answer.
+    While ``closing()`` is true each connection is closed after its next
+    response.
     """
 
     handler_class = Handler
@@ -209,20 +215,20 @@
         )
 
     def handle(self, client_socket, address):
-        """Serve one connection, with the kernel watching its path."""
+        """Serve one connection, with TCP keep-alive probes enabled."""
         try:
             connection.watch_path(client_socket)
         except OSError:
-            # The caller is gone already; serving it finds that out.
+            # The client has disconnected; serving the connection detects that.
             pass
         super().handle(client_socket, address)
 
 
 def _check_framing(headers):
-    """Refuse a request whose end two readers could see differently.
+    """Reject a request whose end two HTTP parsers could disagree on.
 
-    Made for request smuggling (RFC 9112, section 11.2): what one server
-    takes for the body, the next takes for a request of its own.
+    This prevents request smuggling (RFC 9112, section 11.2), in which one
+    server takes as a new request what another takes as part of the body.
     """
     lengths = headers.get_all("content-length") or []
     codings = headers.get_all("transfer-encoding") or []
@@ -233,32 +239,32 @@
     if lengths and not (lengths[0].isascii() and lengths[0].isdigit()):
         raise Rejected(_bad_framing("a Content-Length that is no number"))
     if codings and codings[0].strip().lower() != "chunked":
-        raise Rejected(_bad_framing("a transfer coding beside chunked"))
+        raise Rejected(_bad_framing("a transfer coding other than chunked"))
 
 
-def _bad_framing(what):
+def _bad_framing(defect):
     return wsgi.Problem(
         400,
         "bad_framing",
-        f"The request has {what}.",
+        f"The request has {defect}.",
         "send one Content-Length, or Transfer-Encoding: chunked alone",
         outcome="not-run",
     )
 
 
-def _problem_of(exc):
+def _client_error_problem(exc):
     if isinstance(exc, Rejected):
         return exc.problem
     return wsgi.Problem(
         400,
         "malformed_http",
-        f"The request is not HTTP: {_text(exc)}.",
+        f"The request is not HTTP: {_single_line(exc)}.",
         "send a well-formed HTTP/1.1 request",
         outcome="not-run",
     )
 
 
-def _text(exc):
+def _single_line(exc):
     return " ".join(str(exc).split())[:200]
 
 
@@ -266,7 +272,7 @@
     return wsgi.Problem(
         431,
         "head_too_large",
-        f"The request line and headers are above {limit} bytes.",
+        f"The request line and headers exceed {limit} bytes.",
         "send fewer or shorter headers, or ask an operator to raise"
         " limits.header_bytes",
         outcome="not-run",
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/problems.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/problems.py
@@ -1,4 +1,4 @@
-"""How the reducer's refusals are put to callers."""
+"""Builds the error responses for requests that fail or are refused."""
 
 from dandeliontrail.components import answers
 from dandeliontrail import effects
@@ -6,13 +6,13 @@
 
 from . import wsgi
 
-# A request that got its time and was not served may be tried again soon:
-# what took the room ends within about a second.
-RETRY_AFTER = 1.0
+# A request that was not served within its time may be retried soon: the
+# requests that occupied the capacity end within about a second.
+RETRY_AFTER_SECONDS = 1.0
 
 
 def internal_problem(request_id):
-    """Return what a caller is told when this instance itself failed."""
+    """Return the error for a failure of this instance itself."""
     return wsgi.Problem(
         500,
         "internal",
@@ -24,7 +24,7 @@
 
 
 def caller_gone(request_id):
-    """Return what would be told a caller that left, if it still listened."""
+    """Return the error of a caller that left; it is normally not received."""
     return wsgi.Problem(
         503,
         "caller_gone",
@@ -36,16 +36,20 @@
 
 
 def deadline(request_id, begun):
-    """Return what a caller is told when the time of its request is up."""
-    nothing = sentinels.Nothing(sentinels.Reason.DEADLINE, RETRY_AFTER)
+    """Return the error for a request whose deadline has passed."""
+    sentinel = sentinels.Nothing(
+        sentinels.Reason.DEADLINE, RETRY_AFTER_SECONDS
+    )
     if not begun:
-        # Nothing ran, so this instance had no room for it in time.
-        nothing = sentinels.Nothing(sentinels.Reason.ALL_BUSY, RETRY_AFTER)
-    return problem_of(answers.refusal(request_id, nothing, begun=begun))
+        # The request did not run, so no capacity became free in time.
+        sentinel = sentinels.Nothing(
+            sentinels.Reason.ALL_BUSY, RETRY_AFTER_SECONDS
+        )
+    return problem_of(answers.refusal(request_id, sentinel, begun=begun))
 
 
 def problem_of(effect):
-    """Return the problem that a refusal tells its caller."""
+    """Return the error response for a refusal."""
     if not isinstance(effect, effects.Refuse):
         return internal_problem(effect.request_id)
     return wsgi.Problem(
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/relay.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/relay.py
@@ -1,7 +1,8 @@
-"""The caller side of a request: answers one caller.
+"""Relays the answer of one request to its caller.
 
-It takes what the engine side hands over and writes it out.  In the pauses
-it looks whether the caller is still there and whether its time is up.
+It takes items from the request's channel and writes them to the caller. While
+none are available it checks whether the caller is still connected and whether
+its deadline has passed.
 """
 
 import select
@@ -21,13 +22,15 @@
 from . import worker as worker_module
 from . import wsgi
 
-# How long a caller that left, or an overdue request, goes unnoticed.
-LOOK_SECONDS = 0.5
-# The far end closed its half (RDHUP), or the connection was reset.
-GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-RETRY_AFTER = 1.0
-# gevent's own knows only readable and writable; this one never blocks here.
-_poll = monkey.get_original("select", "poll")
+# The longest time until a caller's disconnect or a passed deadline is
+# detected.
+CHECK_INTERVAL_SECONDS = 0.5
+# The peer closed its sending side (RDHUP), or the connection was reset.
+HANGUP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+RETRY_AFTER_SECONDS = 1.0
+# gevent's ``poll`` supports only readable and writable events. The original
+# one does not block here, since it is called with a timeout of 0.
+_new_poll = monkey.get_original("select", "poll")
 
 
 class CallerLeft(Exception):
@@ -35,7 +38,7 @@
 
 
 class Relay:
-    """Carries one answer to its caller."""
+    """Relays one answer to its caller."""
 
     def __init__(self, host, worker, exchange, event, caller):
         self._host = host
@@ -48,34 +51,34 @@
         self._begun = False
 
     def run(self, start_response):
-        """Return the reply's iterable."""
+        """Start the request and return the WSGI response iterable."""
         self._host.attach(self._exchange)
         self._exchange.worker = gevent.spawn(self._worker.run)
         try:
-            head = self._next()
+            head = self._next_item()
         except CallerLeft:
-            self._leave()
+            self._report_caller_gone()
             raise problems.caller_gone(self._event.request_id)
         except BaseException:
-            self._leave()
+            self._report_caller_gone()
             raise
         self._begun = True
         if head.body is not None:
-            self._channel.leave()
+            self._channel.close_reader()
             body = wsgi.reply(
                 start_response, head.status, head.body, head.headers
             )
-            return _Written(body, self._close)
+            return _TrackedBody(body, self._close)
         start_response(wsgi.status_line(head.status), head.headers)
         return self._stream()
 
     def _stream(self):
         ended = False
         try:
-            item = self._next()
+            item = self._next_item()
             while item is not channel_module.END:
                 yield item
-                item = self._next()
+                item = self._next_item()
             ended = True
         except wsgi.Problem as problem:
             ended = True
@@ -84,66 +87,69 @@
             return
         finally:
             if not ended:
-                self._leave()
+                self._report_caller_gone()
             self._close()
 
-    def _next(self):
-        """Return the next item; a failure is raised as its problem."""
+    def _next_item(self):
+        """Return the next item; raises the problem of a ``Failure``."""
         while True:
             try:
-                item = self._channel.get(LOOK_SECONDS)
-                self._check_time()
+                item = self._channel.get(CHECK_INTERVAL_SECONDS)
+                self._check_deadline()
                 break
             except queue.Empty:
-                self._look()
+                self._check_caller()
         if isinstance(item, channel_module.Failure):
             raise item.problem
         return item
 
-    def _look(self):
-        if is_gone(self._caller):
+    def _check_caller(self):
+        if is_disconnected(self._caller):
             raise CallerLeft()
-        self._check_time()
+        self._check_deadline()
 
-    def _check_time(self):
-        if self._overdue():
+    def _check_deadline(self):
+        if self._is_overdue():
             self._host.submit(events.Overdue(self._event.request_id))
             raise self._deadline_problem()
 
-    def _overdue(self):
-        """Tell whether the caller's own deadline has passed.
+    def _is_overdue(self):
+        """Whether the caller's own timeout has passed.
 
-        A stream that came to life in time is cut only where its caller set
-        a limit: without one, slow is no fault.
+        A stream that started in time is cut off only if its caller set a
+        timeout: otherwise a slow stream is not an error.
         """
         timeout = self._event.timeout
         if timeout is None:
             return False
-        # The queue's own check comes first and knows what did not run.
-        passed = time.monotonic() - self._started
-        return passed > timeout + 2 * LOOK_SECONDS
+        # The queue's own deadline check runs first, since it can tell that the
+        # request did not run; hence the added time.
+        elapsed = time.monotonic() - self._started
+        return elapsed > timeout + 2 * CHECK_INTERVAL_SECONDS
 
     def _deadline_problem(self):
-        nothing = sentinels.Nothing(sentinels.Reason.DEADLINE, RETRY_AFTER)
-        refusal = answers.refusal(self._event.request_id, nothing, begun=True)
+        sentinel = sentinels.Nothing(
+            sentinels.Reason.DEADLINE, RETRY_AFTER_SECONDS
+        )
+        refusal = answers.refusal(self._event.request_id, sentinel, begun=True)
         return problems.problem_of(refusal)
 
-    def _leave(self):
-        """Say that this caller waits no more; the reducer knows the rest."""
+    def _report_caller_gone(self):
+        """Report that the caller has left; the reducer decides the rest."""
         self._close()
         self._host.submit(events.CallerGone(self._event.request_id))
 
     def _close(self):
-        """End the caller's side: all that it was to get is written."""
-        self._channel.leave()
+        """Detach the caller: everything it was to receive is written."""
+        self._channel.close_reader()
         self._host.detach(self._exchange, "caller")
 
 
-class _Written:
-    """A reply's body that says when it has been written, or given up.
+class _TrackedBody:
+    """A response body that calls ``on_close`` when written or given up.
 
-    Until then the request is in flight: a drain that ended sooner would
-    cut the last bytes of a slow caller's answer.
+    The request counts as in flight until then: a drain that ended earlier
+    would cut off the end of the response to a slow caller.
     """
 
     def __init__(self, body, on_close):
@@ -155,20 +161,20 @@
 
 
 def serve(host, engines, limits, event, call, caller, start_response):
-    """Serve one request of a caller and return the reply's iterable."""
+    """Serve one request of a caller and return the response iterable."""
     exchange = exchange_module.Exchange(event.request_id)
     worker = worker_module.Worker(host, engines, limits, event, call, exchange)
     relay = Relay(host, worker, exchange, event, caller)
     return relay.run(start_response)
 
 
-def is_gone(sock):
-    """Tell whether the far end of a connection has closed it."""
+def is_disconnected(sock):
+    """Whether the peer of a connection has closed it."""
     if sock is None:
         return False
-    poll = _poll()
+    poll = _new_poll()
     try:
-        poll.register(sock.fileno(), GONE)
+        poll.register(sock.fileno(), HANGUP_EVENTS)
         return bool(poll.poll(0))
     except (OSError, ValueError):
         return True
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/request_log.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/request_log.py
@@ -1,9 +1,9 @@
-"""The log lines by which one request can be followed.
+"""Writes the log lines by which one request can be followed.
 
-Each line has the ``request_id``.  The reducer logs its decisions itself
-(``decision``); this module adds what comes before and after them: the
-arrival, each attempt that came to nothing, and one line at the end with
-outcome, tokens and times.  No line holds a key, a prompt or an answer.
+Each line has the ``request_id``. The reducer logs its own decisions
+(``decision``). This module adds the lines before and after them: the arrival,
+each failed attempt, and one line at the end with outcome, tokens and times. No
+line contains a key, a prompt or an answer.
 """
 
 import msgspec
@@ -11,16 +11,16 @@
 from dandeliontrail import effects
 from dandeliontrail import events
 
-DECISION = "decision"
-DISPATCHED = "dispatched"
-WENT_WELL = frozenset(("complete", "replayed"))
-# Far above the requests that one instance can have open; whatever is left
-# over by a fault is dropped from the oldest on.
-MOST_OPEN = 50_000
+DECISION_MESSAGE = "decision"
+DISPATCHED_REASON = "dispatched"
+SUCCESS_REASONS = frozenset(("complete", "replayed"))
+# Far more than the requests that one instance can have open. Entries that a
+# fault leaves behind are dropped, oldest first.
+MAX_OPEN_REQUESTS = 50_000
 
 
-class _Open(msgspec.Struct):
-    """A request that has not ended; times on the instance's clock."""
+class _OpenRequest(msgspec.Struct):
+    """A request that has not ended; times are on the instance's clock."""
 
     received: float
     attempts: int = 0
@@ -33,45 +33,45 @@
 
 
 class RequestLog:
-    """Watches events and effects pass by and writes lines about them."""
+    """Writes log lines about the events and effects of requests."""
 
     def __init__(self, logger, counters):
         self._logger = logger
         self._counters = counters
-        self._open = {}
-        self._seen = {
-            events.RequestReceived: self._received,
-            events.RoutedRequestReceived: self._routed,
-            events.AttemptBegan: self._began,
-            events.NotBegun: self._not_begun,
-            events.AttemptFailed: self._failed,
-            events.FirstOutput: self._first_output,
-            events.AnswerFinished: self._finished,
-            events.CallerGone: self._caller_gone,
+        self._open_requests = {}
+        self._handlers = {
+            events.RequestReceived: self._on_request,
+            events.RoutedRequestReceived: self._on_routed_request,
+            events.AttemptBegan: self._on_attempt_began,
+            events.NotBegun: self._on_not_begun,
+            events.AttemptFailed: self._on_attempt_failed,
+            events.FirstOutput: self._on_first_output,
+            events.AnswerFinished: self._on_answer_finished,
+            events.CallerGone: self._on_caller_gone,
         }
 
     def event(self, event, now):
-        """Take note of an event before the reducer gets it."""
-        seen = self._seen.get(type(event))
-        if seen:
-            seen(event, now)
-
-    def effects(self, out, now):
-        """Take note of the effects of one event."""
-        for effect in out:
+        """Record an event, before the reducer handles it."""
+        handler = self._handlers.get(type(event))
+        if handler:
+            handler(event, now)
+
+    def effects(self, emitted, now):
+        """Record the effects of one event."""
+        for effect in emitted:
             if isinstance(effect, effects.Log):
-                self._note_decision(effect)
-        for effect in out:
+                self._record_decision(effect)
+        for effect in emitted:
             if isinstance(effect, effects.Refuse):
-                self._end(
+                self._log_end(
                     effect.request_id,
                     now,
                     outcome=effect.outcome,
                     status=effect.status,
                     reason=effect.nothing.reason.value,
                 )
-            elif _ends(effect):
-                self._end(
+            elif _ends_request(effect):
+                self._log_end(
                     effect.fields["request_id"],
                     now,
                     reason=effect.fields["reason"],
@@ -81,17 +81,17 @@
         fields["request_id"] = request_id
         self._logger.info(message, extra=fields)
 
-    def _note_open(self, event, now):
-        while len(self._open) >= MOST_OPEN:
-            del self._open[next(iter(self._open))]
-        self._open[event.request_id] = _Open(now)
+    def _add_open_request(self, event, now):
+        while len(self._open_requests) >= MAX_OPEN_REQUESTS:
+            del self._open_requests[next(iter(self._open_requests))]
+        self._open_requests[event.request_id] = _OpenRequest(now)
 
-    def _routed(self, event, now):
-        """Write nothing yet: the decision that follows says it all."""
-        self._note_open(event, now)
+    def _on_routed_request(self, event, now):
+        """Write no line: the decision that follows has all of its data."""
+        self._add_open_request(event, now)
 
-    def _received(self, event, now):
-        self._note_open(event, now)
+    def _on_request(self, event, now):
+        self._add_open_request(event, now)
         self._line(
             "request",
             event.request_id,
@@ -103,107 +103,107 @@
             idempotent=bool(event.idempotency_key),
         )
 
-    def _began(self, event, now):
+    def _on_attempt_began(self, event, now):
         self._counters["attempts_total"] += 1
-        held = self._open.get(event.request_id)
-        if held:
-            held.attempts += 1
+        request = self._open_requests.get(event.request_id)
+        if request:
+            request.attempts += 1
 
-    def _not_begun(self, event, now):
+    def _on_not_begun(self, event, now):
         self._counters["attempts_not_begun_total"] += 1
-        held = self._open.get(event.request_id)
+        request = self._open_requests.get(event.request_id)
         self._line(
             "attempt not begun",
             event.request_id,
             attempt=event.attempt,
-            backend_server=held.backend_server if held else "",
+            backend_server=request.backend_server if request else "",
             server_said=event.server_said,
             detail=event.detail,
             important=True,
         )
 
-    def _failed(self, event, now):
+    def _on_attempt_failed(self, event, now):
         self._counters["attempts_failed_total"] += 1
-        held = self._open.get(event.request_id)
-        if held and event.answered:
-            held.answered = event.answered
+        request = self._open_requests.get(event.request_id)
+        if request and event.answered:
+            request.answered = event.answered
         self._line(
             "attempt failed",
             event.request_id,
             attempt=event.attempt,
-            backend_server=held.backend_server if held else "",
+            backend_server=request.backend_server if request else "",
             relayed=event.relayed,
             closed=event.closed,
             detail=event.detail,
             important=True,
         )
 
-    def _first_output(self, event, now):
-        held = self._open.get(event.request_id)
-        if held and held.first_output is None:
-            held.first_output = now
+    def _on_first_output(self, event, now):
+        request = self._open_requests.get(event.request_id)
+        if request and request.first_output is None:
+            request.first_output = now
 
-    def _finished(self, event, now):
-        held = self._open.get(event.request_id)
-        if held:
-            held.output_tokens = event.output_tokens
+    def _on_answer_finished(self, event, now):
+        request = self._open_requests.get(event.request_id)
+        if request:
+            request.output_tokens = event.output_tokens
 
-    def _caller_gone(self, event, now):
-        if event.request_id in self._open:
+    def _on_caller_gone(self, event, now):
+        if event.request_id in self._open_requests:
             self._line("caller gone", event.request_id, important=True)
 
-    def _note_decision(self, effect):
-        if effect.message != DECISION:
+    def _record_decision(self, effect):
+        if effect.message != DECISION_MESSAGE:
             return
         fields = effect.fields
-        held = self._open.get(fields["request_id"])
-        if held:
-            held.organisation = fields["organisation"]
-            held.class_name = fields["class"]
-            held.backend_server = fields["backend_server"]
-
-    def _end(self, request_id, now, reason, outcome="", status=None):
-        held = self._open.pop(request_id, None)
-        if held is None:
+        request = self._open_requests.get(fields["request_id"])
+        if request:
+            request.organisation = fields["organisation"]
+            request.class_name = fields["class"]
+            request.backend_server = fields["backend_server"]
+
+    def _log_end(self, request_id, now, reason, outcome="", status=None):
+        request = self._open_requests.pop(request_id, None)
+        if request is None:
             return
         self._counters[f'requests_ended_total{{reason="{reason}"}}'] += 1
         fields = {
             "reason": reason,
             "outcome": outcome or reason,
-            "organisation": held.organisation,
-            "class": held.class_name,
-            "backend_server": held.backend_server,
-            "attempts": held.attempts,
-            "output_tokens": held.output_tokens,
-            "total_ms": _milliseconds(now - held.received),
+            "organisation": request.organisation,
+            "class": request.class_name,
+            "backend_server": request.backend_server,
+            "attempts": request.attempts,
+            "output_tokens": request.output_tokens,
+            "total_ms": _milliseconds(now - request.received),
         }
-        if held.first_output is not None:
-            passed = held.first_output - held.received
-            fields["first_output_ms"] = _milliseconds(passed)
+        if request.first_output is not None:
+            elapsed = request.first_output - request.received
+            fields["first_output_ms"] = _milliseconds(elapsed)
         if status is not None:
-            # The caller gets a server's own failure before one of ours.
-            fields["status"] = held.answered or status
-        if reason not in WENT_WELL:
+            # The caller gets a server's own error status rather than ours.
+            fields["status"] = request.answered or status
+        if reason not in SUCCESS_REASONS:
             fields["important"] = True
         self._line("request ended", request_id, **fields)
 
 
-def _ends(effect):
-    """Tell whether an effect is the decision that a request is over."""
+def _ends_request(effect):
+    """Whether an effect is the decision that ends a request."""
     return (
         isinstance(effect, effects.Log)
-        and effect.message == DECISION
-        and effect.fields["reason"] != DISPATCHED
+        and effect.message == DECISION_MESSAGE
+        and effect.fields["reason"] != DISPATCHED_REASON
     )
 
 
 def is_said_at_the_end(effect):
-    """Tell whether the line ``request ended`` says all that an effect says.
+    """Whether the line ``request ended`` covers an effect's content.
 
-    That a request went well is decided from nothing that this line would
-    have to name: a third of all lines.
+    For a successful request the decision adds nothing that this line does not
+    have, so it is left out: a third of all lines.
     """
-    return _ends(effect) and effect.fields["reason"] in WENT_WELL
+    return _ends_request(effect) and effect.fields["reason"] in SUCCESS_REASONS
 
 
 def _milliseconds(seconds):
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/silence.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/silence.py
@@ -1,9 +1,10 @@
-"""Tells a dead path from a slow server, by the pace that can be expected.
+"""Distinguishes a dead connection from a slow server.
 
-Failure guarded against: something between the two ends loses track of a
-connection.  Nothing more arrives on it, for good, while new connections to
-the same address work.  A single long timeout would either cut streams that
-are only slow or leave callers waiting for minutes.
+A device between the two ends, such as a firewall, can lose track of a
+connection. Nothing more ever arrives on it, while new connections to the
+same address work. A single long timeout would either cut
+streams that are only slow or make callers wait for minutes, so the timeout
+follows the pace of the stream.
 """
 
 import time
@@ -11,111 +12,117 @@
 from . import connection
 from . import engine_client
 
-# Before the first byte an engine may queue and read a long prompt; asking
-# costs two small requests, and each doubles the time to the next.
+# Before the first output an engine may queue the request and process a long
+# prompt. A check costs two small requests, and each one doubles the time to
+# the next.
 FIRST_SECONDS = 2.0
-# Between outputs: this many times the longest gap seen, within bounds.  At
-# 29 ms between tokens a silence of 2 s is 70 of them.
+# Between outputs, the timeout is this multiple of the longest gap seen, within
+# bounds. At 29 ms between tokens, a silence of 2 s equals 70 gaps.
 GAP_FACTOR = 20.0
 LEAST_GAP_SECONDS = 2.0
-# Each question that changed nothing doubles the time to the next one.
-MOST_SECONDS = 20.0
-FAILED_PROBES = 2
-# How often a silence that seems to be for good is looked at: another server
-# may have gone on by then.
-LOOK_SECONDS = 0.1
-# A stream that its engine twice does not know never arrived there, or is
-# lost: a request on its way would have come in between.
-NOT_HELD = 2
-
-
-class PathWatch(connection.Watch):
-    """Watches the connection of one attempt, that of ``source``.
-
-    When the server answers on a new connection and still holds the stream,
-    the stream goes on over that one, from the event after the last.  That
-    is right for a slow server too: nothing is cut, lost or doubled.
+# The interval doubles with each check that changes nothing, up to this.
+MAX_INTERVAL_SECONDS = 20.0
+SUSPECT_AFTER_FAILED_PROBES = 2
+# How often to check on a server that is suspected to be gone: a hedge on
+# another server may have output by then.
+SUSPECTED_POLL_SECONDS = 0.1
+# If its engine twice does not know the stream, the request never arrived or
+# the stream is lost: a request still on its way would have arrived in between.
+MAX_NOT_HELD_ANSWERS = 2
+
+
+class StreamSilenceMonitor(connection.SilenceMonitor):
+    """Monitors the connection of one attempt, ``response``.
+
+    If the server answers on a new connection and still holds the stream, the
+    stream continues there, from the event after the last one received. This is
+    also correct for a slow server: no output is cut, lost or duplicated.
     """
 
-    def __init__(self, engines, source, limit_seconds):
+    def __init__(self, engines, response, limit_seconds):
         self._engines = engines
-        self._source = source
-        self._limit = limit_seconds
-        self._heard = time.monotonic()
-        self._longest = 0.0
-        self._begun = False
-        self._failed = 0
-        self._not_held = 0
-        self._patience = 1.0
+        self._response = response
+        self._limit_seconds = limit_seconds
+        self._last_output_at = time.monotonic()
+        self._longest_gap = 0.0
+        self._has_output = False
+        self._failed_probes = 0
+        self._not_held_answers = 0
+        self._backoff = 1.0
         self._suspected = False
         self._next_probe = 0.0
 
-    def heard(self):
-        """Take note of an output."""
+    def record_output(self):
+        """Record that output has arrived."""
         now = time.monotonic()
-        if self._begun:
-            self._longest = max(self._longest, now - self._heard)
-        self._begun = True
-        self._heard = now
-        self._failed = 0
-        self._patience = 1.0
+        if self._has_output:
+            self._longest_gap = max(
+                self._longest_gap, now - self._last_output_at
+            )
+        self._has_output = True
+        self._last_output_at = now
+        self._failed_probes = 0
+        self._backoff = 1.0
         self._suspected = False
 
-    def seconds(self):
-        """Return the longest silence that needs no question."""
+    def timeout_seconds(self):
+        """Return the longest silence that does not trigger a check."""
         if self._suspected:
-            return LOOK_SECONDS
+            return SUSPECTED_POLL_SECONDS
         return self._interval()
 
     def _interval(self):
-        if not self._begun:
-            return min(FIRST_SECONDS * self._patience, MOST_SECONDS)
-        wanted = max(GAP_FACTOR * self._longest, LEAST_GAP_SECONDS)
-        return min(wanted * self._patience, MOST_SECONDS)
+        if not self._has_output:
+            return min(FIRST_SECONDS * self._backoff, MAX_INTERVAL_SECONDS)
+        interval = max(GAP_FACTOR * self._longest_gap, LEAST_GAP_SECONDS)
+        return min(interval * self._backoff, MAX_INTERVAL_SECONDS)
 
-    def silent(self):
-        """Probe; move the stream to a new path, or wait on.
+    def handle_timeout(self):
+        """Check the server; resume the stream or continue to wait.
 
-        Neither a server that refuses new connections nor one that takes none
-        is given up for that: the first may be about to leave, the second
-        frozen for a while.  Another one may go on meanwhile.
+        A server is not given up because it refuses new connections or does not
+        answer them: the first may be shutting down, the second be frozen for a
+        while. A hedge may run on another server in the meantime.
         """
         if self._suspected:
-            self._source.silent()
+            self._response.report_silence()
         if not self._suspected or time.monotonic() >= self._next_probe:
             self._probe()
             self._next_probe = time.monotonic() + self._interval()
-        if time.monotonic() - self._heard > self._limit:
-            self._give_up(f"silent for {self._limit:g} s")
+        if time.monotonic() - self._last_output_at > self._limit_seconds:
+            self._give_up(f"silent for {self._limit_seconds:g} s")
 
     def _probe(self):
-        found = self._engines.probe(self._source.url)
-        if found is engine_client.Probe.ANSWERS:
-            self._failed = 0
-            self._ask_for_stream()
+        result = self._engines.probe(self._response.url)
+        if result is engine_client.Probe.ANSWERS:
+            self._failed_probes = 0
+            self._try_resume()
             return
-        self._failed += 1
-        refuses = found is engine_client.Probe.REFUSES
-        if refuses or self._failed >= FAILED_PROBES:
+        self._failed_probes += 1
+        refuses = result is engine_client.Probe.REFUSES
+        if refuses or self._failed_probes >= SUSPECT_AFTER_FAILED_PROBES:
             self._suspected = True
-            self._source.silent()
+            self._response.report_silence()
 
-    def _ask_for_stream(self):
+    def _try_resume(self):
         try:
-            answer = self._source.resumed()
+            answer = self._response.try_resume()
         except engine_client.NotHeld:
-            self._not_held += 1
-            if not self._source.resumable():
-                # Such an engine says so of streams that it is working on.
-                self._patience *= 2.0
-            elif self._not_held >= NOT_HELD:
-                self._give_up("unknown to its engine, and silent")
+            self._not_held_answers += 1
+            if not self._response.is_resumable():
+                # An engine that cannot resume streams gives this answer even
+                # for those it is working on.
+                self._backoff *= 2.0
+            elif self._not_held_answers >= MAX_NOT_HELD_ANSWERS:
+                self._give_up(
+                    "silent, and its engine does not know the stream"
+                )
             return
-        self._patience *= 2.0
+        self._backoff *= 2.0
         if answer:
-            self._engines.retire(self._source.url)
+            self._engines.retire_connections(self._response.url)
             raise connection.PathLost(answer)
 
-    def _give_up(self, why):
-        self._engines.retire(self._source.url)
-        raise TimeoutError(why)
+    def _give_up(self, reason):
+        self._engines.retire_connections(self._response.url)
+        raise TimeoutError(reason)
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/source.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/source.py
@@ -1,8 +1,8 @@
-"""Reads one attempt's answer from the engine that it was given to.
+"""Reads the answer to one attempt from the engine it was sent to.
 
-Over however many connections: where one breaks or falls silent, the same
-engine is asked for the rest of the stream.  That starts no work, so it is
-done for requests that must not be repeated as well.
+The answer may arrive over several connections: if one breaks or falls silent,
+the same engine is asked for the rest of the stream. This starts no new work,
+so it is also done for requests that must not be repeated.
 """
 
 import contextlib
@@ -16,16 +16,16 @@
 from . import silence
 from . import transcript
 
-# Reconnecting without one more event in between is given up after this.
-MOST_RESUMES = 3
-# A server that breaks off after each event would be asked for ever, by a
-# worker that nobody waits for any more.  A stream of minutes that loses a
-# connection every few seconds stays below this.
-MOST_RESUMES_IN_ALL = 64
+# Consecutive reconnections that yield no event before the attempt fails.
+MAX_CONSECUTIVE_RESUMES = 3
+# Without this limit, a server that breaks off after each event would be asked
+# forever by a worker that nobody is waiting for. A stream of several minutes
+# that loses a connection every few seconds stays below it.
+MAX_TOTAL_RESUMES = 64
 
 
-class Source:
-    """One attempt: the server's answer, whatever connection it comes by."""
+class AttemptResponse:
+    """The answer to one attempt, resumed over new connections as needed."""
 
     def __init__(self, host, engines, call, dispatch, limits):
         self._host = host
@@ -33,32 +33,32 @@
         self._call = call
         self.dispatch = dispatch
         self.url = dispatch.url
-        self.watch = silence.PathWatch(
+        self.monitor = silence.StreamSilenceMonitor(
             engines, self, limits.backend_silent_seconds
         )
         self._answer = None
-        self._received = 0
-        self._resumes = 0
-        self._resumes_in_all = 0
-        self._assembled = False
-        self._began = False
-        self._when_silent = None
-        self._left = contextlib.ExitStack()
-
-    def when_silent(self, call):
-        """Have ``call`` made with this while its server seems not to be."""
-        self._when_silent = call
-
-    def silent(self):
-        """Say that the server is silent, also on new connections."""
-        if self._when_silent is not None:
-            self._when_silent(self)
+        self._received_events = 0
+        self._consecutive_resumes = 0
+        self._total_resumes = 0
+        self._resumed_as_stream = False
+        self._began_reported = False
+        self._on_silence = None
+        self._old_connections = contextlib.ExitStack()
+
+    def on_silence(self, callback):
+        """Set the callback that receives this object during silence."""
+        self._on_silence = callback
+
+    def report_silence(self):
+        """Report that the server is silent on new connections as well."""
+        if self._on_silence is not None:
+            self._on_silence(self)
 
     def began(self):
-        """Say that the first byte is about to be written."""
-        if self._began:
+        """Report that the first byte of the request is about to be written."""
+        if self._began_reported:
             return
-        self._began = True
+        self._began_reported = True
         self._host.submit(
             events.AttemptBegan(
                 self.dispatch.request_id, self.dispatch.attempt
@@ -70,42 +70,43 @@
         try:
             self._answer = self._engines.open(self, outgoing)
         except connection.PathLost as exc:
-            self._leave_path(exc)
+            self._leave_connection(exc)
         except engine_client.Broken as exc:
             self._recover(exc)
         return self._answer.status
 
     def restart(self):
-        """Forget the answer so far; the next ``open`` starts anew."""
+        """Discard the answer so far; the next ``open`` sends a new request."""
         self._answer.close()
         self._answer = None
-        self._received = 0
-        self._resumes = 0
+        self._received_events = 0
+        self._consecutive_resumes = 0
 
-    def _leave_path(self, exc):
-        self._left.callback(exc.left.close)
-        self._switch(exc.answer)
+    def _leave_connection(self, exc):
+        self._old_connections.callback(exc.old_connection.close)
+        self._continue_with(exc.answer)
 
-    def _switch(self, answer):
+    def _continue_with(self, answer):
         self._answer = answer
-        # A whole answer goes on as the stream that it was made from.
-        self._assembled = not self._call.streamed
+        # An unstreamed answer is resumed as the stream of events it is made
+        # from.
+        self._resumed_as_stream = not self._call.streamed
 
-    def resumable(self):
-        """Tell whether its engine would know the stream if it had it."""
-        return self._engines.resumable(self.url, self._call.streamed)
+    def is_resumable(self):
+        """Whether the engine is known to be able to resume such a stream."""
+        return self._engines.is_resumable(self.url, self._call.streamed)
 
-    def learn(self):
-        """Find out for later whether the engine knew this stream."""
+    def check_resumable(self):
+        """Find out for later requests whether the engine resumes streams."""
         if self._call.generation:
-            self._engines.learn(
+            self._engines.check_resumable(
                 self.url, self.dispatch.request_id, self._call.streamed
             )
 
-    def resumed(self):
-        """Return the rest of the stream over a new connection, or None.
+    def try_resume(self):
+        """Return the rest of the stream over a new connection, or ``None``.
 
-        Raises ``NotHeld`` where the server does not know the stream.
+        Raises ``NotHeld`` if the server does not know the stream.
         """
         if not self._call.generation:
             return None
@@ -113,8 +114,8 @@
             return self._engines.resume(
                 self.url,
                 self.dispatch.request_id,
-                self._received,
-                self.watch,
+                self._received_events,
+                self.monitor,
             )
         except engine_client.NotHeld:
             raise
@@ -122,18 +123,18 @@
             return None
 
     def _recover(self, exc):
-        """Go on after a break, or raise it again."""
-        self._resumes += 1
-        self._resumes_in_all += 1
+        """Resume the stream after a failure, or raise ``exc`` again."""
+        self._consecutive_resumes += 1
+        self._total_resumes += 1
         answer = None
         if (
-            self._resumes <= MOST_RESUMES
-            and self._resumes_in_all <= MOST_RESUMES_IN_ALL
+            self._consecutive_resumes <= MAX_CONSECUTIVE_RESUMES
+            and self._total_resumes <= MAX_TOTAL_RESUMES
         ):
-            answer = self.resumed()
+            answer = self.try_resume()
         if answer is None:
             raise exc
-        self._switch(answer)
+        self._continue_with(answer)
 
     def header(self, name):
         """Return a header of the answer, or ``None``."""
@@ -145,74 +146,78 @@
             try:
                 event = self._answer.read_event()
                 if event:
-                    return self._count(event)
+                    return self._record_event(event)
                 raise engine_client.Broken(
-                    "it ended without [DONE]", closed=True
+                    "the stream ended without [DONE]", closed=True
                 )
             except connection.PathLost as exc:
-                self._leave_path(exc)
+                self._leave_connection(exc)
             except engine_client.Broken as exc:
                 self._recover(exc)
 
-    def _count(self, event):
-        self.watch.heard()
-        self._resumes = 0
-        self._received += event.startswith(transcript.DATA)
+    def _record_event(self, event):
+        self.monitor.record_output()
+        self._consecutive_resumes = 0
+        self._received_events += event.startswith(transcript.DATA_PREFIX)
         return event
 
-    def whole(self):
-        """Return the whole body."""
+    def read_body(self):
+        """Return the complete body."""
         while True:
-            if self._assembled:
-                return self._assemble()
+            if self._resumed_as_stream:
+                return self._body_from_events()
             try:
                 body = self._answer.read_all()
-                self._check_whole(body)
+                self._check_complete(body)
                 return body
             except connection.PathLost as exc:
-                self._leave_path(exc)
+                self._leave_connection(exc)
             except engine_client.Broken as exc:
                 self._recover(exc)
 
-    def _check_whole(self, body):
-        """Refuse a body whose end cannot be told from a cut."""
-        if self._answer.framed:
+    def _check_complete(self, body):
+        """Raise ``Broken`` if an undelimited body is not valid JSON."""
+        if self._answer.self_delimited:
             return
         try:
             msgspec.json.decode(body)
         except msgspec.DecodeError:
-            raise engine_client.Broken("an answer of no stated length ended")
+            raise engine_client.Broken(
+                "an answer of undeclared length was truncated"
+            )
 
-    def _assemble(self):
-        """Make a whole answer out of the events of its stream."""
-        held = transcript.Transcript()
+    def _body_from_events(self):
+        """Build the body of an unstreamed answer from its stream's events."""
+        received = transcript.Transcript()
         event = self.next_event()
-        while not event.startswith(transcript.DONE):
-            held.take(event)
+        while not event.startswith(transcript.DONE_EVENT):
+            received.append(event)
             event = self.next_event()
-        if not held.plain:
-            raise engine_client.Broken("its stream holds more than text")
-        return _whole_body(self._call, self.dispatch.request_id, held)
+        if not received.plain:
+            raise engine_client.Broken(
+                "cannot build a body: the stream holds more than text"
+            )
+        return _completion_body(self._call, self.dispatch.request_id, received)
 
     def close(self):
-        """End the exchange; where it is unfinished, the engine stops."""
+        """Close the connections, which stops an unfinished answer."""
         if self._answer:
             self._answer.close()
-        self._left.close()
+        self._old_connections.close()
 
 
-def _whole_body(call, request_id, held):
+def _completion_body(call, request_id, received):
     choice = {"index": 0, "finish_reason": "stop"}
     if call.chat:
-        choice["message"] = {"role": "assistant", "content": held.text}
+        choice["message"] = {"role": "assistant", "content": received.text}
     else:
-        choice["text"] = held.text
-    kind = "chat.completion" if call.chat else "text_completion"
-    usage = {"prompt_tokens": 0, "completion_tokens": held.tokens}
+        choice["text"] = received.text
+    object_type = "chat.completion" if call.chat else "text_completion"
+    usage = {"prompt_tokens": 0, "completion_tokens": received.tokens}
     return msgspec.json.encode(
         {
             "id": request_id,
-            "object": kind,
+            "object": object_type,
             "choices": [choice],
             "usage": usage,
         }
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/standard_face.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/standard_face.py
@@ -1,4 +1,4 @@
-"""The four listeners of the product's own interface."""
+"""The listeners of the standard HTTP interface."""
 
 from . import face
 from . import tokens
@@ -9,29 +9,33 @@
 
 
 class StandardFace(face.Face):
-    """Callers, backend servers and operators, each at an address."""
+    """One listener each for callers, backend servers and operators."""
 
     def __init__(self):
-        self._doors = {}
+        self._authenticators = {}
 
     def listeners(self, inner):
         """Return the three listeners."""
-        given = inner.cfg.credentials
+        credentials = inner.cfg.credentials
         for name, path in (
-            ("operators", given.operator_tokens_file),
-            ("backend_servers", given.backend_tokens_file),
+            ("operators", credentials.operator_tokens_file),
+            ("backend_servers", credentials.backend_tokens_file),
         ):
-            self._doors[name] = tokens.doorkeeper(path, name in given.open)
-        door = self._doors["operators"]
+            self._authenticators[name] = tokens.doorkeeper(
+                path, name in credentials.open
+            )
+        operators_authenticator = self._authenticators["operators"]
         apps = {
             "callers": callers.CallersApp(
                 inner.host, inner.engines, inner.cfg.limits, inner.drain
             ),
             "backend_servers": backend_servers.BackendServersApp(
-                inner.host, self._doors["backend_servers"]
+                inner.host, self._authenticators["backend_servers"]
             ),
             "operators": drain_request.DrainRequests(
-                operators.OperatorsApp(inner.host, door), door, inner.on_term
+                operators.OperatorsApp(inner.host, operators_authenticator),
+                operators_authenticator,
+                inner.on_term,
             ),
         }
         return [
@@ -41,4 +45,4 @@
 
     def reloadable(self):
         """Return the token files."""
-        return list(self._doors.values())
+        return list(self._authenticators.values())
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/transcript.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/transcript.py
@@ -1,15 +1,15 @@
-"""What a caller has of a stream so far, and how another engine goes on.
+"""Tracks what a caller has received, so that another engine can continue.
 
-A second engine that is given the same request again writes the same text
-only where its sampling is deterministic.  That is not assumed but seen: the
-new text is held against what the caller has, and nothing of it is passed on
-until it has caught up.  At the first difference the attempt is dropped.
+A second engine that gets the same request writes the same text only if its
+sampling is deterministic. This is checked instead of assumed: the new text is
+compared with what the caller has, and none of it is passed on until it goes
+beyond that. The attempt fails at the first difference.
 """
 
 import msgspec
 
-DATA = b"data:"
-DONE = b"data: [DONE]"
+DATA_PREFIX = b"data:"
+DONE_EVENT = b"data: [DONE]"
 
 
 class Diverged(Exception):
@@ -25,7 +25,7 @@
 
 
 class Choice(msgspec.Struct):
-    """One alternative of an event; ``text`` in plain completions."""
+    """One choice of an event; ``text`` is set in plain completions."""
 
     index: int = 0
     delta: Delta | None = None
@@ -35,24 +35,24 @@
 
 
 class Chunk(msgspec.Struct):
-    """The part of an event that a continuation depends on."""
+    """The fields of an event that a continuation depends on."""
 
     choices: list[Choice] = []
     usage: msgspec.Raw = msgspec.Raw(b"")
     error: msgspec.Raw = msgspec.Raw(b"")
 
 
-def chunk_of(event):
-    """Return the chunk in an event, or ``None`` where there is none."""
-    if not event.startswith(DATA):
+def parse_chunk(event):
+    """Return the chunk in an event, or ``None`` if it has none."""
+    if not event.startswith(DATA_PREFIX):
         return None
     try:
-        return msgspec.json.decode(event[len(DATA) :], type=Chunk)
+        return msgspec.json.decode(event[len(DATA_PREFIX) :], type=Chunk)
     except msgspec.DecodeError:
         return None
 
 
-def text_of(chunk):
+def chunk_text(chunk):
     """Return the text that a chunk adds."""
     if not chunk.choices:
         return ""
@@ -62,30 +62,31 @@
     return choice.text or ""
 
 
-def _plain(chunk):
-    """Tell whether text is all that a chunk carries."""
-    if len(chunk.choices) > 1 or _is_given(chunk.error):
+def _is_text_only(chunk):
+    """Whether a chunk carries nothing but the text of one choice."""
+    if len(chunk.choices) > 1 or _is_present(chunk.error):
         return False
     for choice in chunk.choices:
         delta = choice.delta
-        if choice.index or _is_given(choice.logprobs):
+        if choice.index or _is_present(choice.logprobs):
             return False
         if delta and (
-            _is_given(delta.tool_calls) or _is_given(delta.function_call)
+            _is_present(delta.tool_calls) or _is_present(delta.function_call)
         ):
             return False
     return True
 
 
-def _is_given(raw):
+def _is_present(raw):
     return bytes(raw) not in (b"", b"null")
 
 
 class Transcript:
-    """The text and the number of events that the caller has.
+    """The text and the number of events that the caller has received.
 
-    ``plain`` turns false with the first event that holds more than the
-    text of one choice: what cannot be compared is not continued elsewhere.
+    ``plain`` becomes false with the first event that carries more than the
+    text of one choice: such content cannot be compared, so the stream is not
+    continued on another engine.
     """
 
     __slots__ = ("events", "plain", "tokens", "_parts")
@@ -96,51 +97,51 @@
         self.plain = True
         self._parts = []
 
-    def take(self, event):
-        """Count an event that goes to the caller."""
-        if not event.startswith(DATA):
+    def append(self, event):
+        """Record an event that is sent to the caller."""
+        if not event.startswith(DATA_PREFIX):
             return
         self.events += 1
-        chunk = chunk_of(event)
-        if chunk is None or not _plain(chunk):
+        chunk = parse_chunk(event)
+        if chunk is None or not _is_text_only(chunk):
             self.plain = False
             return
-        text = text_of(chunk)
+        text = chunk_text(chunk)
         self.tokens += bool(text)
         self._parts.append(text)
 
     @property
     def text(self):
-        """All the text so far."""
+        """The complete text so far."""
         return "".join(self._parts)
 
 
-class Splice:
-    """Passes on of a rerun what the caller does not have yet."""
+class DeliveredFilter:
+    """Drops the part of a repeated answer that the caller already has."""
 
     __slots__ = ("_left",)
 
     def __init__(self, text):
         self._left = text
 
-    def pass_on(self, event):
-        """Return the event, its new part, or ``b""`` for nothing new.
+    def undelivered_part(self, event):
+        """Return the event, its undelivered part, or ``b""`` if none.
 
-        Raises :class:`Diverged` where the rerun says something else, or
-        ends before it has caught up.
+        Raises :class:`Diverged` if the answer differs from the delivered text
+        or ends before it has repeated all of it.
         """
         if not self._left:
             return event
-        chunk = chunk_of(event)
+        chunk = parse_chunk(event)
         if chunk is None:
-            if event.startswith(DONE):
+            if event.startswith(DONE_EVENT):
                 raise Diverged()
             return b""
-        if not _plain(chunk):
+        if not _is_text_only(chunk):
             raise Diverged()
-        return self._catch_up(event, text_of(chunk))
+        return self._skip_delivered(event, chunk_text(chunk))
 
-    def _catch_up(self, event, text):
+    def _skip_delivered(self, event, text):
         if self._left.startswith(text):
             self._left = self._left[len(text) :]
             return b""
@@ -148,11 +149,11 @@
             raise Diverged()
         rest = text[len(self._left) :]
         self._left = ""
-        return _with_text(event, rest)
+        return _replace_text(event, rest)
 
 
-def _with_text(event, text):
-    fields = msgspec.json.decode(event[len(DATA) :])
+def _replace_text(event, text):
+    fields = msgspec.json.decode(event[len(DATA_PREFIX) :])
     choice = fields["choices"][0]
     if choice.get("delta"):
         choice["delta"]["content"] = text
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/worker.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/worker.py
@@ -1,7 +1,8 @@
-"""The engine side of a request: sends it on and reads the answer.
+"""Sends a caller's request to backend servers and reads the answer.
 
-It runs in a greenlet of its own, so that it can outlive the caller: work
-that must not be repeated runs to its end, and its answer is held.
+This runs in a greenlet of its own so that it can outlive the caller's
+connection: a request that must not be repeated runs to completion, and its
+answer is stored under its idempotency key.
 """
 
 import time
@@ -22,8 +23,8 @@
 from . import transcript
 from . import wsgi
 
-SAMPLED_GAPS = 64
-PASSED_HEADERS = ("Content-Type",)
+MAX_GAP_SAMPLES = 64
+FORWARDED_HEADERS = ("Content-Type",)
 EVENT_STREAM = ("Content-Type", "text/event-stream")
 
 
@@ -34,14 +35,14 @@
     completion_tokens: int = 0
 
 
-class WholeAnswer(msgspec.Struct):
-    """The part of a whole answer that counting needs."""
+class CompletionBody(msgspec.Struct):
+    """The part of an unstreamed completion that is needed to count tokens."""
 
     usage: Usage = msgspec.field(default_factory=Usage)
 
 
 class Worker:
-    """Follows the reducer's dispatches until there is an outcome."""
+    """Carries out the reducer's dispatches of a request until it ends."""
 
     def __init__(self, host, engines, limits, event, call, exchange):
         self._host = host
@@ -51,21 +52,21 @@
         self._call = call
         self._exchange = exchange
         self._channel = exchange.channel
-        self._held = transcript.Transcript()
-        self._kept = bytearray()
-        self._keep = bool(event.idempotency_key)
-        self._reading = None
+        self._delivered = transcript.Transcript()
+        self._stored_body = bytearray()
+        self._stores_answer = bool(event.idempotency_key)
+        self._reader = None
         self._hedge = None
         self._head = None
         self._gaps_ms = []
-        self._last = 0.0
-        self._begun_attempt = 0
+        self._last_event_at = 0.0
+        self._attempt_with_output = 0
 
     def run(self):
-        """Work until the answer is whole or cannot be had."""
+        """Work until the answer is complete or cannot be obtained."""
         try:
             self._host.submit(self._event)
-            while not self._attempt():
+            while not self._serve_dispatch():
                 pass
         except wsgi.Problem as problem:
             self._channel.put(channel_module.Failure(problem))
@@ -73,29 +74,29 @@
             raise
         except Exception as exc:
             self._host.logger.error("request failed", exc_info=exc)
-            fault = problems.internal_problem(self._event.request_id)
-            self._channel.put(channel_module.Failure(fault))
+            internal_error = problems.internal_problem(self._event.request_id)
+            self._channel.put(channel_module.Failure(internal_error))
         finally:
-            self._let_go()
+            self._close_attempts()
             self._host.detach(self._exchange, "worker")
 
-    def _attempt(self):
-        """Serve one dispatch; tell whether the answer is whole."""
+    def _serve_dispatch(self):
+        """Carry out the next dispatch; return whether the answer ended."""
         effect = self._next_effect()
         if isinstance(effect, effects.Replay):
             self._replay(effect.answer)
             return True
         if not isinstance(effect, effects.Dispatch):
             raise problems.problem_of(effect)
-        self._let_go()
-        self._take_up(self._reading_of(effect))
-        while self._reading is not None:
-            if self._serve():
+        self._close_attempts()
+        self._use_reader(self._new_reader(effect))
+        while self._reader is not None:
+            if self._relay_attempt():
                 return True
         return False
 
     def _next_effect(self):
-        """Return the next effect that is not about a hedge let go."""
+        """Return the next effect, skipping those of cancelled hedges."""
         while True:
             effect = self._exchange.get()
             if isinstance(effect, effects.Withdraw):
@@ -105,92 +106,93 @@
             if self._host.is_current(effect):
                 return effect
 
-    def _reading_of(self, dispatch):
-        source = source_module.Source(
+    def _new_reader(self, dispatch):
+        response = source_module.AttemptResponse(
             self._host, self._engines, self._call, dispatch, self._limits
         )
-        source.when_silent(self._silent)
-        return reading_module.Reading(
-            self._host, self._call, source, self._held
+        response.on_silence(self._handle_silence)
+        return reading_module.ResponseReader(
+            self._host, self._call, response, self._delivered
         )
 
-    def _take_up(self, reading):
-        """Make a reading the one whose answer the caller gets."""
-        self._reading = reading
-        reading.when_heard(self._heard)
+    def _use_reader(self, reader):
+        """Relay the answer of ``reader`` to the caller from now on."""
+        self._reader = reader
+        reader.on_event(self._record_event)
 
-    def _let_go(self):
+    def _close_attempts(self):
         if self._hedge is not None:
             self._hedge.close()
             self._hedge = None
-        if self._reading is not None:
-            self._reading.close()
-            self._reading = None
+        if self._reader is not None:
+            self._reader.close()
+            self._reader = None
 
-    def _serve(self):
-        """Pass on the present attempt; tell whether the answer is whole.
+    def _relay_attempt(self):
+        """Relay the current attempt; return whether the answer is complete.
 
-        Where it fails, the one beside it goes on, if there is one.
+        If the attempt fails while a hedge is running, the hedge takes its
+        place.
         """
-        reading = self._reading
+        reader = self._reader
         try:
-            self._pass_on_all(reading)
+            self._relay_answer(reader)
             return True
         except hedge_module.Overtaken as exc:
-            self._overtake(exc.reading)
+            self._switch_to_hedge(exc.reader)
             return False
-        except hedge_module.FAILURES as exc:
-            self._reading = None
-            reading.close()
-            self._failed(reading, exc)
-        if self._hedge is not None and self._hedge.reading is not None:
+        except hedge_module.ATTEMPT_ERRORS as exc:
+            self._reader = None
+            reader.close()
+            self._report_failure(reader, exc)
+        if self._hedge is not None and self._hedge.reader is not None:
             try:
-                self._hedge.result()
+                self._hedge.wait()
             except hedge_module.Overtaken as exc:
-                self._take_up(exc.reading)
+                self._use_reader(exc.reader)
         self._hedge = None
         return False
 
-    # -- a silent server ----------------------------------------------------
+    # -- silent servers -----------------------------------------------------
 
-    def _silent(self, source):
-        """Have another server sought beside the silent one of ``source``.
+    def _handle_silence(self, response):
+        """Request a hedge while the server of ``response`` is silent.
 
-        Raises ``Overtaken`` once that one has something.
+        Raises ``Overtaken`` once the hedge has output for the caller.
         """
-        if self._reading is None or source is not self._reading.source:
+        if self._reader is None or response is not self._reader.response:
             return
         if self._hedge is None:
             self._hedge = hedge_module.Hedge(
                 self._exchange,
                 self._host.is_current,
-                self._reading_of,
-                self._failed,
+                self._new_reader,
+                self._report_failure,
             )
-            self._submit(events.AttemptSilent, self._reading)
-        effect = self._hedge.look()
+            self._submit_attempt_event(events.AttemptSilent, self._reader)
+        effect = self._hedge.poll()
         if effect is not None:
             raise problems.problem_of(effect)
 
-    def _spoke_again(self):
-        """Let go of what is beside the present attempt."""
+    def _cancel_hedge(self):
+        """Drop the hedge: the current attempt has produced output again."""
         hedge, self._hedge = self._hedge, None
         hedge.close()
-        self._submit(events.AttemptSpoke, self._reading)
+        self._submit_attempt_event(events.AttemptSpoke, self._reader)
 
-    def _overtake(self, reading):
-        self._submit(events.AttemptSpoke, reading)
-        self._let_go()
-        self._take_up(reading)
+    def _switch_to_hedge(self, reader):
+        self._submit_attempt_event(events.AttemptSpoke, reader)
+        self._close_attempts()
+        self._use_reader(reader)
 
-    def _submit(self, kind, reading):
-        dispatch = reading.dispatch
+    def _submit_attempt_event(self, kind, reader):
+        dispatch = reader.dispatch
         self._host.submit(kind(dispatch.request_id, dispatch.attempt))
 
     # -- the answer ---------------------------------------------------------
 
     def _replay(self, answer):
-        """Give the stored answer of the same key."""
+        """Send the answer that is stored under the same idempotency key."""
         headers = [
             ("X-Request-Id", self._event.request_id),
             ("X-Backend-Server", answer.backend_server),
@@ -202,9 +204,9 @@
             channel_module.Head(answer.status, headers, answer.body)
         )
 
-    def _failed(self, reading, exc):
-        """Tell the reducer how an attempt failed."""
-        dispatch = reading.dispatch
+    def _report_failure(self, reader, exc):
+        """Report to the reducer how an attempt failed."""
+        dispatch = reader.dispatch
         if isinstance(exc, engine_client.NotBegun):
             event = events.NotBegun(
                 dispatch.request_id,
@@ -213,105 +215,108 @@
                 exc.retry_after,
             )
         elif isinstance(exc, transcript.Diverged):
-            event = self._broke_off(
+            event = self._attempt_failed_event(
                 dispatch, "another engine's answer differs"
             )
         else:
-            event = self._broke_off(dispatch, str(exc), exc.closed)
+            event = self._attempt_failed_event(dispatch, str(exc), exc.closed)
         self._host.submit(event)
 
-    def _broke_off(self, dispatch, detail, closed=False):
+    def _attempt_failed_event(self, dispatch, detail, closed=False):
         return events.AttemptFailed(
             dispatch.request_id,
             dispatch.attempt,
-            self._held.events,
+            self._delivered.events,
             detail,
             closed=closed,
         )
 
-    def _pass_on_all(self, reading):
-        output = self._next(reading)
-        if isinstance(output, reading_module.Whole):
-            self._whole(reading.dispatch, output)
+    def _relay_answer(self, reader):
+        output = self._next_output(reader)
+        if isinstance(output, reading_module.BufferedAnswer):
+            self._send_buffered_answer(reader.dispatch, output)
             return
-        while not output.startswith(transcript.DONE):
-            self._pass_on(reading.dispatch, output)
-            output = self._next(reading)
-        self._end(reading.dispatch, output)
+        while not output.startswith(transcript.DONE_EVENT):
+            self._relay_event(reader.dispatch, output)
+            output = self._next_output(reader)
+        self._finish_stream(reader.dispatch, output)
 
-    def _next(self, reading):
-        output = reading.next()
+    def _next_output(self, reader):
+        output = reader.next_output()
         if self._hedge is not None:
-            self._spoke_again()
-        if self._begun_attempt != reading.dispatch.attempt:
-            # Read beside a silent one, or whole: nobody was told yet.
-            self._first_output()
+            self._cancel_hedge()
+        if self._attempt_with_output != reader.dispatch.attempt:
+            # The output was read by a hedge or is an unstreamed answer;
+            # neither has reported the attempt's first output.
+            self._report_first_output()
         return output
 
-    def _whole(self, dispatch, whole):
-        headers = self._headers(dispatch)
+    def _send_buffered_answer(self, dispatch, answer):
+        headers = self._reply_headers(dispatch)
         headers.append(("X-Outcome", "complete"))
-        if self._keep:
-            self._kept += whole.body
-        self._finished(dispatch, whole.status, _usage_of(whole.body))
+        if self._stores_answer:
+            self._stored_body += answer.body
+        self._report_finished(
+            dispatch, answer.status, _parse_usage(answer.body)
+        )
         self._channel.put(
-            channel_module.Head(whole.status, headers, whole.body)
+            channel_module.Head(answer.status, headers, answer.body)
         )
 
-    def _headers(self, dispatch):
+    def _reply_headers(self, dispatch):
         headers = [
             ("X-Request-Id", dispatch.request_id),
             ("X-Backend-Server", dispatch.backend_server),
         ]
-        for name in PASSED_HEADERS:
-            value = self._reading.source.header(name)
+        for name in FORWARDED_HEADERS:
+            value = self._reader.response.header(name)
             if value:
                 headers.append((name, value))
         return headers
 
-    def _end(self, dispatch, event):
-        """Pass on the last event of a stream."""
-        if self._keep:
-            self._kept += event
-        usage = Usage(self._event.prompt_tokens, self._held.tokens)
-        # First this, so that whoever has the whole answer can see it
-        # counted.
-        self._finished(dispatch, 200, usage)
-        self._begin_reply(dispatch)
+    def _finish_stream(self, dispatch, event):
+        """Relay the last event of a stream."""
+        if self._stores_answer:
+            self._stored_body += event
+        usage = Usage(self._event.prompt_tokens, self._delivered.tokens)
+        # Report this before the caller receives the last event, so that a
+        # caller that has the complete answer finds its usage counted.
+        self._report_finished(dispatch, 200, usage)
+        self._send_head(dispatch)
         self._channel.put(event)
         self._channel.put(channel_module.END)
 
-    def _heard(self):
-        """Take note of an event, whether the caller has it already or not."""
+    def _record_event(self):
+        """Record when an event arrives, even one that the caller has."""
         now = time.monotonic()
-        if self._begun_attempt != self._reading.dispatch.attempt:
-            self._first_output()
-        if not self._last:
-            self._last = now
-        elif len(self._gaps_ms) < SAMPLED_GAPS:
-            self._gaps_ms.append((now - self._last) * 1000.0)
-        self._last = now
-
-    def _begin_reply(self, dispatch):
+        if self._attempt_with_output != self._reader.dispatch.attempt:
+            self._report_first_output()
+        if not self._last_event_at:
+            self._last_event_at = now
+        elif len(self._gaps_ms) < MAX_GAP_SAMPLES:
+            self._gaps_ms.append((now - self._last_event_at) * 1000.0)
+        self._last_event_at = now
+
+    def _send_head(self, dispatch):
         if self._head is None:
-            headers = self._headers(dispatch)
+            headers = self._reply_headers(dispatch)
             self._head = channel_module.Head(200, headers)
             self._channel.put(self._head)
 
-    def _pass_on(self, dispatch, event):
-        self._begin_reply(dispatch)
-        self._held.take(event)
-        if self._keep:
-            self._kept += event
+    def _relay_event(self, dispatch, event):
+        self._send_head(dispatch)
+        self._delivered.append(event)
+        if self._stores_answer:
+            self._stored_body += event
         self._channel.put(event)
 
-    def _first_output(self):
-        self._begun_attempt = self._reading.dispatch.attempt
-        self._submit(events.FirstOutput, self._reading)
+    def _report_first_output(self):
+        self._attempt_with_output = self._reader.dispatch.attempt
+        self._submit_attempt_event(events.FirstOutput, self._reader)
 
-    def _finished(self, dispatch, status, usage):
+    def _report_finished(self, dispatch, status, usage):
         if status == 200:
-            self._reading.source.learn()
+            self._reader.response.check_resumable()
         self._host.submit(
             events.AnswerFinished(
                 dispatch.request_id,
@@ -319,23 +324,23 @@
                 usage.prompt_tokens,
                 usage.completion_tokens,
                 self._gaps_ms,
-                self._stored(dispatch, status),
+                self._stored_answer(dispatch, status),
             )
         )
 
-    def _stored(self, dispatch, status):
-        if not self._keep:
+    def _stored_answer(self, dispatch, status):
+        if not self._stores_answer:
             return None
         return claims.StoredAnswer(
             status,
-            self._reading.source.header("Content-Type") or "",
+            self._reader.response.header("Content-Type") or "",
             dispatch.backend_server,
-            bytes(self._kept),
+            bytes(self._stored_body),
         )
 
 
-def _usage_of(body):
+def _parse_usage(body):
     try:
-        return msgspec.json.decode(body, type=WholeAnswer).usage
+        return msgspec.json.decode(body, type=CompletionBody).usage
     except (msgspec.DecodeError, UnicodeDecodeError):
         return Usage()
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/wsgi.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/wsgi.py
@@ -1,4 +1,4 @@
-"""What the WSGI applications of all listeners share."""
+"""Requests, responses and errors of the WSGI apps of all listeners."""
 
 import http
 
@@ -6,19 +6,19 @@
 import msgspec
 
 JSON = ("Content-Type", "application/json")
-# Where the environment of a request has its caller's connection.
+# The key in the WSGI environment of the caller's socket.
 SOCKET = "dandeliontrail.socket"
 
 
-# Where the environment of a request has its :class:`Head`.
+# The key in the WSGI environment of the request's :class:`Head`.
 HEAD = "dandeliontrail.head"
 
 
 class Head:
-    """The head of a request as it came, for whoever passes it on.
+    """The head of a request as received, for apps that forward it.
 
-    ``target`` is the path with its query, not decoded; ``headers`` the
-    pairs of name and value in their order.
+    ``target`` is the path with its query, not decoded; ``headers`` are the
+    pairs of name and value in their original order.
     """
 
     __slots__ = ("method", "target", "headers")
@@ -29,23 +29,23 @@
         self.headers = headers
 
     def get(self, name):
-        """Return the value of a header by its lower-case name, or ''."""
-        for held, value in self.headers:
-            if held.lower() == name:
+        """Return the value of a header by its lower-case name, or ``""``."""
+        for header, value in self.headers:
+            if header.lower() == name:
                 return value
         return ""
 
 
 class Aborted(BaseException):
-    """The reply ends here; the connection closes without its proper end."""
+    """Ends the response by closing the connection before its proper end."""
 
 
 class Problem(Exception):
-    """An answer other than success, raised to end the handling.
+    """An error response, raised to end the handling of a request.
 
-    ``outcome`` and ``request_id`` stay empty where no request was run.
-    ``close`` ends the connection, where the next request could not be told
-    from the rest of this one.
+    ``outcome`` and ``request_id`` are empty if no request was run. ``close``
+    closes the connection, for cases in which the start of the next request
+    cannot be determined.
     """
 
     def __init__(self, status, code, message, remedy, **extra):
@@ -61,7 +61,7 @@
 
 
 class ErrorBody(msgspec.Struct, omit_defaults=True):
-    """The inner part of an error answer."""
+    """The content of an error response."""
 
     type: str
     code: str
@@ -72,12 +72,12 @@
 
 
 class ErrorAnswer(msgspec.Struct):
-    """An error answer, as the contract has it."""
+    """An error response as the HTTP API defines it."""
 
     error: ErrorBody
 
 
-_TYPES = {
+_ERROR_TYPES = {
     401: "authentication",
     403: "permission",
     404: "not_found",
@@ -87,11 +87,11 @@
 
 
 def error_body(problem):
-    """Return the JSON of a problem."""
+    """Return the JSON body of a problem."""
     return msgspec.json.encode(
         ErrorAnswer(
             ErrorBody(
-                _type_of(problem.status),
+                _error_type(problem.status),
                 problem.code,
                 problem.message,
                 problem.remedy,
@@ -102,20 +102,20 @@
     )
 
 
-def _type_of(status):
-    """Return the error type of a status; the caller can mend any 4xx."""
+def _error_type(status):
+    """Return the error type of a status; the caller can fix any 4xx."""
     if status >= 500:
         return "server_error"
-    return _TYPES.get(status, "invalid_request")
+    return _ERROR_TYPES.get(status, "invalid_request")
 
 
 def status_line(status):
-    """Return ``404 Not Found`` for 404."""
+    """Return the status line, such as ``404 Not Found`` for 404."""
     return f"{status} {http.HTTPStatus(status).phrase}"
 
 
 def problem_headers(problem):
-    """Return the reply headers that belong to a problem."""
+    """Return the response headers of a problem."""
     headers = [JSON]
     if problem.request_id:
         headers.append(("X-Request-Id", problem.request_id))
@@ -130,32 +130,33 @@
 
 
 def reply(start_response, status, body, headers=()):
-    """Start a reply with a whole body and return its iterable."""
-    lengths = ("Content-Length", str(len(body)))
-    start_response(status_line(status), [*headers, lengths])
+    """Start a response with a complete body and return its iterable."""
+    length_header = ("Content-Length", str(len(body)))
+    start_response(status_line(status), [*headers, length_header])
     return [body]
 
 
 def reply_json(start_response, value, status=200):
-    """Reply with ``value`` as JSON."""
+    """Respond with ``value`` as JSON."""
     return reply(start_response, status, msgspec.json.encode(value), [JSON])
 
 
 def reply_problem(start_response, problem):
-    """Reply with an error."""
+    """Respond with an error."""
     body = error_body(problem)
     headers = problem_headers(problem)
     return reply(start_response, problem.status, body, headers)
 
 
 def read_body(environ, limit, seconds):
-    """Return the body of a request, bounded in size and in time.
+    """Return the body of a request, limited in size and in time.
 
-    The server has made sure that a ``Content-Length`` is a number.
+    Raises :class:`Problem` if it is too large, too slow or broken. The HTTP
+    server has already checked that ``Content-Length`` is a number.
     """
     length = environ.get("CONTENT_LENGTH")
     if length and int(length) > limit:
-        raise _too_large(limit)
+        raise _body_too_large(limit)
     timeout = gevent.Timeout(seconds)
     try:
         with timeout:
@@ -163,32 +164,32 @@
     except gevent.Timeout as exc:
         if exc is not timeout:
             raise
-        raise _unreadable(
+        raise _body_problem(
             408,
             "slow_body",
             f"The body did not arrive within {seconds:g} s.",
             "send it again over a faster connection",
         )
     except OSError as exc:
-        raise _unreadable(
+        raise _body_problem(
             400,
             "cut_body",
             f"The body broke off or is malformed: {exc}.",
             "send it again whole, with its right Content-Length or chunks",
         )
     if len(body) > limit:
-        raise _too_large(limit)
+        raise _body_too_large(limit)
     return body
 
 
-def _unreadable(status, code, message, remedy):
+def _body_problem(status, code, message, remedy):
     return Problem(
         status, code, message, remedy, outcome="not-run", close=True
     )
 
 
-def _too_large(limit):
-    return _unreadable(
+def _body_too_large(limit):
+    return _body_problem(
         413,
         "too_large",
         f"The body is above {limit} bytes.",
@@ -197,7 +198,7 @@
 
 
 def decode(body, kind, remedy):
-    """Return the JSON ``body`` as a checked ``kind``."""
+    """Parse a JSON body as ``kind``; raises :class:`Problem` if invalid."""
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.DecodeError, RecursionError) as exc:
@@ -215,7 +216,7 @@
 
 
 def guard(app, logger):
-    """Wrap a WSGI application so that each fault becomes an answer."""
+    """Wrap a WSGI app so that every exception becomes an error response."""
 
     def guarded(environ, start_response):
         try:
--- a/tests/cover/test_bad_servers.py
+++ b/tests/cover/test_bad_servers.py
@@ -1,7 +1,7 @@
-"""Backend servers that answer what they should not.
+"""Tests backend servers whose responses are invalid.
 
-The caller gets a clear error and no part of it looks like an answer; the
-instance gathers a bounded amount and serves on.
+The caller gets a clear error, and no part of it looks like an answer; the
+instance buffers a limited amount and keeps serving.
 """
 
 import contextlib
@@ -14,25 +14,25 @@
 
 from tests.common import world
 
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
 CHUNK = b"10000\r\n" + b"x" * 0x10000 + b"\r\n"
-# Of each of up to four connections, what is taken in and what the sockets
+# For each of up to four connections, what is read plus what the socket buffers
 # hold.
-BOUND = 4 * 16 * connection.MOST_EVENT_BYTES
+MAX_SENT_BYTES = 4 * 16 * connection.MAX_EVENT_BYTES
 
 
 class BadServer:
-    """Sends ``first`` and then ``again`` for ever to whoever connects."""
+    """Sends ``prefix``, then ``repeated`` forever, to each connection."""
 
-    def __init__(self, first, again=b""):
-        self._first = first
-        self._again = again
+    def __init__(self, prefix, repeated=b""):
+        self._prefix = prefix
+        self._repeated = repeated
         self.sent = 0
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.port = self._listener.getsockname()[1]
 
     def run(self):
-        """Serve for ever."""
+        """Accept connections forever."""
         while True:
             conn, _ = self._listener.accept()
             gevent.spawn(self._serve, conn)
@@ -40,51 +40,56 @@
     def _serve(self, conn):
         with contextlib.suppress(OSError), conn:
             conn.recv(65536)
-            conn.sendall(self._first)
-            while self._again:
-                conn.sendall(self._again)
-                self.sent += len(self._again)
+            conn.sendall(self._prefix)
+            while self._repeated:
+                conn.sendall(self._repeated)
+                self.sent += len(self._repeated)
 
 
-BAD = {
+BAD_ANSWERS = {
     "no HTTP": (b"\x00\x01 this is no HTTP\r\n\r\n",),
     "nothing": (b"",),
     "endless header": (b"HTTP/1.1 200 OK\r\nX: ", b"x" * 65536),
-    "endless event": (HEAD + b"Transfer-Encoding: chunked\r\n\r\n", CHUNK),
-    "bad chunk": (HEAD + b"Transfer-Encoding: chunked\r\n\r\nxyz\r\n",),
-    "cut stream": (HEAD + b"Content-Length: 99\r\n\r\ndata: {}\n\n",),
-    "bad length": (HEAD + b"Content-Length: -5\r\n\r\n",),
+    "endless event": (
+        RESPONSE_HEAD + b"Transfer-Encoding: chunked\r\n\r\n",
+        CHUNK,
+    ),
+    "bad chunk": (
+        RESPONSE_HEAD + b"Transfer-Encoding: chunked\r\n\r\nxyz\r\n",
+    ),
+    "cut stream": (RESPONSE_HEAD + b"Content-Length: 99\r\n\r\ndata: {}\n\n",),
+    "bad length": (RESPONSE_HEAD + b"Content-Length: -5\r\n\r\n",),
 }
 
 
-@pytest.mark.parametrize("answer", BAD.values(), ids=BAD)
+@pytest.mark.parametrize("answer", BAD_ANSWERS.values(), ids=BAD_ANSWERS)
 def test_bad_answer_becomes_a_clear_error(answer):
     bad = BadServer(*answer)
     runner = gevent.spawn(bad.run)
-    with world.World() as made:
-        one = made.instance("i1", backend_silent_seconds=2.0)
-        good = made.engine("e1", announce=False)
-        made.apply({"summary": {"repeatable": False}})
-        announce(one, good, bad.port)
-        address = one.addresses["callers"]
+    with world.World() as cluster:
+        instance = cluster.instance("i1", backend_silent_seconds=2.0)
+        good = cluster.engine("e1", announce=False)
+        cluster.apply({"summary": {"repeatable": False}})
+        announce(instance, good, bad.port)
+        address = instance.addresses["callers"]
         ask = client.Ask(address, world.KEY, "", "hello", timeout=10.0)
-        found = client.send(ask)
-        assert not found.complete
-        assert found.outcome == "unknown"
-        assert found.error in ("backend_server_failed", "deadline")
-        assert bad.sent < BOUND
-        world.wait_until(lambda: not one.host.open_exchanges())
+        received = client.send(ask)
+        assert not received.complete
+        assert received.outcome == "unknown"
+        assert received.error in ("backend_server_failed", "deadline")
+        assert bad.sent < MAX_SENT_BYTES
+        world.wait_until(lambda: not instance.host.open_exchanges())
     runner.kill()
 
 
-def announce(one, good, port):
-    """Have the bad server announced under the name of an engine."""
-    said = good.announcement(1)
-    said["url"] = f"http://127.0.0.1:{port}"
-    said["lease"] = 60
-    address = one.addresses["backend_servers"]
+def announce(instance, good, port):
+    """Announce the bad server under the name of an engine."""
+    announcement = good.announcement(1)
+    announcement["url"] = f"http://127.0.0.1:{port}"
+    announcement["lease"] = 60
+    address = instance.addresses["backend_servers"]
     host, listen = address.split(":")
     sender = client.geventhttpclient.HTTPClient(host, int(listen))
-    body = client.msgspec.json.encode(said)
+    body = client.msgspec.json.encode(announcement)
     assert sender.post("/v1/announcements", body).status_code == 200
     sender.close()
--- a/tests/cover/test_engine_client.py
+++ b/tests/cover/test_engine_client.py
@@ -1,4 +1,4 @@
-"""What the client of backend servers may do by itself, and what not."""
+"""Tests when the client of backend servers may repeat a request."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 class Attempt:
     def __init__(self, url):
         self.url = url
-        self.watch = connection.Watch()
+        self.monitor = connection.SilenceMonitor()
         self.begun = 0
 
     def began(self):
@@ -24,9 +24,9 @@
 
 @pytest.mark.parametrize("method", ["POST", "PUT", "DELETE", "GET"])
 def test_does_not_resend_over_a_connection_that_was_closed(method):
-    # A dock order goes out twice.  The service closed the kept connection
-    # just as the second call was on its way, and the HTTP library sent a
-    # PUT again over a new one, up to 513 times, all by itself.
+    # An order is placed twice. The service closes the kept-alive connection
+    # just as the second call is sent, and the HTTP library resent a PUT over
+    # new connections by itself, up to 513 times.
     seen = []
 
     def handle(sock, address):
@@ -38,7 +38,7 @@
 
     with sockets.raw_server(handle) as url:
         client = make_client()
-        outgoing = engine_client.Outgoing(method, "/order", {}, b"x")
+        outgoing = engine_client.OutgoingRequest(method, "/order", {}, b"x")
         attempt = Attempt(url)
         assert client.open(attempt, outgoing).read_all() == b"ok"
         with pytest.raises(engine_client.Broken):
@@ -56,8 +56,8 @@
     ],
 )
 def test_cut_answer_is_not_taken_for_whole(reply):
-    # A certificate lookup shows half a certificate: the server died while
-    # it sent the answer.
+    # The server dies while it sends the answer. A truncated certificate must
+    # not be taken for the answer to its lookup.
     def handle(sock, address):
         sockets.read_request(sock)
         sock.sendall(reply)
@@ -65,7 +65,7 @@
 
     with sockets.raw_server(handle) as url:
         client = make_client()
-        outgoing = engine_client.Outgoing("GET", "/", {})
+        outgoing = engine_client.OutgoingRequest("GET", "/", {})
         with pytest.raises(engine_client.Broken):
             client.open(Attempt(url), outgoing).read_all()
 
@@ -74,7 +74,7 @@
     with sockets.raw_server(lambda sock, address: sock.close()) as url:
         closed = url
     attempt = Attempt(closed)
-    outgoing = engine_client.Outgoing("POST", "/", {}, b"x")
+    outgoing = engine_client.OutgoingRequest("POST", "/", {}, b"x")
     with pytest.raises(engine_client.NotBegun):
         make_client().open(attempt, outgoing)
     assert attempt.begun == 0
--- a/tests/cover/test_outcomes.py
+++ b/tests/cover/test_outcomes.py
@@ -1,4 +1,4 @@
-"""What callers get when they leave, come back, or an instance ends."""
+"""Tests what callers get if they leave or return, or an instance ends."""
 
 from dandeliontrail_lab import client
 import gevent
@@ -31,53 +31,53 @@
     caller.close()
 
 
-def running(served):
-    return [item for item in served.batch.running if not item.cancelled]
+def running(engine):
+    return [item for item in engine.batch.running if not item.cancelled]
 
 
 def test_engine_is_told_promptly_when_the_caller_left():
-    with world.World() as made:
-        one = made.instance("i1")
-        served = made.engine("e1", step=0.01)
-        made.apply(LOOKUP)
-        leave_early(one, max_tokens=5000)
-        world.wait_until(lambda: served.ran and not running(served))
-        assert one.host.open_exchanges() == 0
+    with world.World() as cluster:
+        instance = cluster.instance("i1")
+        engine = cluster.engine("e1", step=0.01)
+        cluster.apply(LOOKUP)
+        leave_early(instance, max_tokens=5000)
+        world.wait_until(lambda: engine.ran and not running(engine))
+        assert instance.host.open_exchanges() == 0
 
 
 def test_caller_that_leaves_while_it_waits_is_noticed():
-    # The caller of a whole answer gave up; no byte was to be written to it
-    # for minutes, so no failed write would have told.
-    with world.World() as made:
-        one = made.instance("i1")
-        served = made.engine("e1", step=0.01)
-        made.apply(LOOKUP)
-        asked = ask(one, stream=False, max_tokens=5000)
+    # The caller of an unstreamed answer leaves. No byte would be written to it
+    # for minutes, so no failed write can reveal that it has left.
+    with world.World() as cluster:
+        instance = cluster.instance("i1")
+        engine = cluster.engine("e1", step=0.01)
+        cluster.apply(LOOKUP)
+        asked = ask(instance, stream=False, max_tokens=5000)
         job = gevent.spawn(client.send, asked)
-        world.wait_until(lambda: running(served))
+        world.wait_until(lambda: running(engine))
         job.kill()
-        world.wait_until(lambda: not running(served))
+        world.wait_until(lambda: not running(engine))
 
 
 def test_summary_runs_to_its_end_without_its_caller_and_is_held():
-    # A field tech's connection broke.  The summary must not be half done;
-    # asked for again, with the same key and from another instance, it is
-    # there, and it ran once.
-    with world.World() as made:
-        one, two = made.instance("i1"), made.instance("i2", "fd2")
-        served = made.engine("e1", step=0.01)
-        made.apply(SUMMARY)
+    # The caller's connection breaks. The summary must run to completion; a
+    # retry with the same key, on another instance, gets the stored answer, and
+    # the summary runs only once.
+    with world.World() as cluster:
+        first, second = cluster.instance("i1"), cluster.instance("i2", "fd2")
+        engine = cluster.engine("e1", step=0.01)
+        cluster.apply(SUMMARY)
         fields = {"max_tokens": 60, "idempotency_key": "report-7"}
-        leave_early(one, **fields)
-        answer = client.send(ask(two, **fields))
+        leave_early(first, **fields)
+        answer = client.send(ask(second, **fields))
         assert answer.complete
         assert answer.tokens == 60
-        again = client.send(ask(one, **fields))
+        again = client.send(ask(first, **fields))
         assert again.text == answer.text
         assert again.backend_server == "e1"
-        assert len(served.ran) == 1
+        assert len(engine.ran) == 1
         other = client.send(
-            ask(two, max_tokens=61, idempotency_key="report-7")
+            ask(second, max_tokens=61, idempotency_key="report-7")
         )
         assert other.status == 409
         assert other.error == "idempotency_key_reused"
@@ -85,44 +85,44 @@
 
 
 def test_answer_that_is_no_longer_held_is_not_run_again(monkeypatch):
-    with world.World() as made:
-        one = made.instance("i1")
-        served = made.engine("e1")
-        made.apply(SUMMARY)
-        entries = one.host.reducer.components
-        (claimer,) = [
+    with world.World() as cluster:
+        instance = cluster.instance("i1")
+        engine = cluster.engine("e1")
+        cluster.apply(SUMMARY)
+        entries = instance.host.reducer.components
+        (claims,) = [
             item for item in entries if type(item).__name__ == "Claims"
         ]
         fields = {"idempotency_key": "report-8"}
-        assert client.send(ask(one, **fields)).complete
+        assert client.send(ask(instance, **fields)).complete
         monkeypatch.setattr(
             "dandeliontrail.coordination.claim_entries.MOST_HELD_BYTES", 10
         )
-        client.send(ask(one, idempotency_key="report-9"))
-        assert len(claimer.entries) == 2
-        answer = client.send(ask(one, **fields))
+        client.send(ask(instance, idempotency_key="report-9"))
+        assert len(claims.entries) == 2
+        answer = client.send(ask(instance, **fields))
         assert answer.status == 409
         assert answer.error == "answer_gone"
         assert answer.outcome == "complete"
-        assert len(served.ran) == 2
+        assert len(engine.ran) == 2
 
 
 def test_service_call_that_must_not_be_repeated_is_sent_once():
-    # A dock app takes an order with PUT and dies before it answers.  The
-    # order may have gone out: nobody sends it again, and the caller is
-    # told that the outcome is unknown.
+    # A service receives an order with PUT and dies before it answers. The
+    # order may have been placed: it must not be sent again, and the caller
+    # must be told that the outcome is unknown.
     seen = []
 
     def handle(sock, address):
         seen.append(sockets.read_request(sock))
         sock.close()
 
-    with world.World() as made, sockets.raw_server(handle) as url:
-        one = made.instance("i1")
-        made.raw_server("dock", url, kind="service", service="dock")
-        made.apply({"order": {"repeatable": False}})
+    with world.World() as cluster, sockets.raw_server(handle) as url:
+        instance = cluster.instance("i1")
+        cluster.raw_server("dock", url, kind="service", service="dock")
+        cluster.apply({"order": {"repeatable": False}})
         caller = geventhttpclient.HTTPClient(
-            *one.addresses["callers"].split(":")
+            *instance.addresses["callers"].split(":")
         )
         response = caller.put(
             "/services/dock/orders/7",
@@ -135,8 +135,9 @@
 
 
 def test_engine_that_refuses_for_a_moment_is_asked_again():
-    # The only engine says 503 "not-run" while it is full.  Once it has
-    # room the request runs; it is not refused, and not sent in a tight loop.
+    # The only engine answers 503 "not-run" while it is full. The request must
+    # run once the engine has room: it is not refused, and not resent in a
+    # tight loop.
     seen = []
 
     def handle(sock, address):
@@ -151,11 +152,11 @@
             sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
         sock.close()
 
-    with world.World() as made, sockets.raw_server(handle) as url:
-        one = made.instance("i1")
-        made.raw_server("e1", url)
-        made.apply(SUMMARY)
-        response = post(one, b'{"model": "small"}')
+    with world.World() as cluster, sockets.raw_server(handle) as url:
+        instance = cluster.instance("i1")
+        cluster.raw_server("e1", url)
+        cluster.apply(SUMMARY)
+        response = post(instance, b'{"model": "small"}')
         assert response.status_code == 200
         assert len(seen) == 3
 
@@ -173,23 +174,23 @@
 
 
 def test_drain_cuts_off_none_of_fifty_streams():
-    # The platform replaces an instance under load.  Fifty streams are open
-    # on it and more requests wait: every caller gets its whole answer.
-    with world.World() as made:
-        one = made.instance("i1", drain_notice_seconds=0.3)
-        served = made.engine("e1", slots=50, step=0.02)
-        made.apply(LOOKUP)
+    # The platform replaces an instance under load. Fifty streams are open on
+    # it and more requests wait: every caller must get its complete answer.
+    with world.World() as cluster:
+        instance = cluster.instance("i1", drain_notice_seconds=0.3)
+        engine = cluster.engine("e1", slots=50, step=0.02)
+        cluster.apply(LOOKUP)
         jobs = [
-            gevent.spawn(client.send, ask(one, max_tokens=40))
+            gevent.spawn(client.send, ask(instance, max_tokens=40))
             for _ in range(70)
         ]
-        world.wait_until(lambda: len(running(served)) == 50)
-        draining = gevent.spawn(one.drain)
+        world.wait_until(lambda: len(running(engine)) == 50)
+        draining = gevent.spawn(instance.drain)
         gevent.sleep(0)
-        ready = readyz(one)
+        ready = readyz(instance)
         assert ready.status_code == 503
         assert ready.get("Connection") == "close"
-        late = client.send(ask(one, max_tokens=3))
+        late = client.send(ask(instance, max_tokens=3))
         assert late.complete
         answers = [job.get() for job in jobs]
         assert all(item.complete for item in answers)
@@ -198,15 +199,15 @@
 
 
 def test_new_work_is_refused_as_not_run_once_the_balancer_has_noticed():
-    with world.World() as made:
-        one = made.instance("i1", drain_notice_seconds=0.0)
-        served = made.engine("e1", step=0.01)
-        made.apply(LOOKUP)
-        job = gevent.spawn(client.send, ask(one, max_tokens=50))
-        world.wait_until(lambda: running(served))
-        draining = gevent.spawn(one.drain)
+    with world.World() as cluster:
+        instance = cluster.instance("i1", drain_notice_seconds=0.0)
+        engine = cluster.engine("e1", step=0.01)
+        cluster.apply(LOOKUP)
+        job = gevent.spawn(client.send, ask(instance, max_tokens=50))
+        world.wait_until(lambda: running(engine))
+        draining = gevent.spawn(instance.drain)
         gevent.sleep(0.1)
-        refused = client.send(ask(one))
+        refused = client.send(ask(instance))
         assert (refused.status, refused.outcome) == (503, "not-run")
         assert refused.retry_after
         assert job.get().complete
@@ -214,38 +215,39 @@
 
 
 def test_second_signal_ends_at_once_and_tells_each_caller_the_truth():
-    # An operator is in a hurry.  The streams that run are told that their
-    # outcome is unknown, what still waits that it did not run.
-    with world.World() as made:
-        one = made.instance("i1")
-        served = made.engine("e1", slots=2, step=0.02)
-        made.apply(SUMMARY)
+    # An operator stops the instance without waiting for the drain. Callers of
+    # running streams are told that the outcome is unknown, callers of waiting
+    # requests that they did not run.
+    with world.World() as cluster:
+        instance = cluster.instance("i1")
+        engine = cluster.engine("e1", slots=2, step=0.02)
+        cluster.apply(SUMMARY)
         jobs = [
-            gevent.spawn(client.send, ask(one, max_tokens=5000))
+            gevent.spawn(client.send, ask(instance, max_tokens=5000))
             for _ in range(4)
         ]
-        world.wait_until(lambda: len(running(served)) == 2)
-        draining = gevent.spawn(one.drain)
+        world.wait_until(lambda: len(running(engine)) == 2)
+        draining = gevent.spawn(instance.drain)
         gevent.sleep(0.1)
-        one.on_term()
+        instance.on_term()
         draining.join()
         answers = [job.get() for job in jobs]
         assert not any(item.complete for item in answers)
         outcomes = sorted(item.outcome for item in answers)
         assert outcomes == ["not-run", "not-run", "unknown", "unknown"]
-        assert len(served.ran) == 2
+        assert len(engine.ran) == 2
 
 
 def test_caller_with_a_time_limit_is_told_when_it_has_passed():
-    # The engine is slower than its caller can wait.  The caller is told
-    # that it may have run, and the engine that nobody waits any more.
-    with world.World() as made:
-        one = made.instance("i1")
-        served = made.engine("e1", step=0.01)
-        made.apply(LOOKUP)
-        asked = ask(one, max_tokens=5000, timeout=0.5)
+    # The engine is slower than the caller's timeout. The caller is told that
+    # the request may have run, and the engine that it is cancelled.
+    with world.World() as cluster:
+        instance = cluster.instance("i1")
+        engine = cluster.engine("e1", step=0.01)
+        cluster.apply(LOOKUP)
+        asked = ask(instance, max_tokens=5000, timeout=0.5)
         answer = client.send(asked)
         assert not answer.complete
         assert answer.error == "deadline"
         assert answer.outcome == "unknown"
-        world.wait_until(lambda: not running(served))
+        world.wait_until(lambda: not running(engine))
--- a/tests/cover/test_silent_engines.py
+++ b/tests/cover/test_silent_engines.py
@@ -1,4 +1,4 @@
-"""Engines that seem to be gone and are not, over the own interface."""
+"""Tests engines that seem to be dead but are not (standard interface)."""
 
 import gevent
 from gevent import server as gevent_server
@@ -13,8 +13,8 @@
 
 CLASSES = {"lookup": {}, "summary": {"repeatable": False}}
 TOKENS = 40
-STEP = 0.01
-# Two health checks and the pauses between them are over by then.
+STEP_SECONDS = 0.01
+# Long enough for two health checks and the pauses between them.
 FROZEN_SECONDS = 3.0
 
 
@@ -37,14 +37,14 @@
 
 
 def start(made, limits=None, **fields):
-    """Return an engine in the middle of its answer, and the job of it."""
+    """Return an engine in the middle of its answer, and the request's job."""
     made.instance("i1", **(limits or {}))
-    served = made.engine("e1", step=STEP, fragile=True)
+    engine = made.engine("e1", step=STEP_SECONDS, fragile=True)
     made.apply(CLASSES)
-    return served, begin(made, served, **fields)
+    return engine, begin(made, engine, **fields)
 
 
-def begin(made, served, class_name="lookup", **fields):
+def begin(made, engine, class_name="lookup", **fields):
     address = made.instances[0].addresses["callers"]
     asked = client.Ask(
         address,
@@ -57,18 +57,18 @@
     job = gevent.spawn(client.send, asked)
     world.wait_until(
         lambda: any(
-            5 < len(item.tokens) for item in served.batch.streams.values()
+            5 < len(stream.tokens) for stream in engine.batch.streams.values()
         )
     )
     return job
 
 
-def freeze(served):
-    served.path.pause()
-    gevent.spawn_later(FROZEN_SECONDS, served.path.go_on)
+def freeze(engine):
+    engine.path.pause()
+    gevent.spawn_later(FROZEN_SECONDS, engine.path.go_on)
 
 
-def nothing_is_left(made):
+def assert_no_request_is_left(made):
     host = made.instances[0].host
     world.wait_until(lambda: not host.open_exchanges())
     fleet = host.reducer.policy._fleet
@@ -82,61 +82,61 @@
 def test_an_engine_that_is_frozen_for_a_while_ends_no_answer(
     made, class_name, stream
 ):
-    served, job = start(made, class_name=class_name, stream=stream)
-    freeze(served)
+    engine, job = start(made, class_name=class_name, stream=stream)
+    freeze(engine)
     answer = job.get()
     assert answer.complete
     assert answer.text == expected()
-    assert len(served.ran) == 1
-    nothing_is_left(made)
+    assert len(engine.ran) == 1
+    assert_no_request_is_left(made)
 
 
 def test_an_engine_that_takes_no_new_connections_ends_no_answer(made):
-    served, job = start(made, class_name="summary")
-    freeze(served)
-    served.path.refuse()
+    engine, job = start(made, class_name="summary")
+    freeze(engine)
+    engine.path.refuse()
     answer = job.get()
     assert answer.complete
     assert answer.text == expected()
-    assert len(served.ran) == 1
+    assert len(engine.ran) == 1
 
 
 @pytest.mark.parametrize("stream", [True, False])
 def test_another_engine_goes_on_while_one_is_frozen(made, stream):
-    served, job = start(made, stream=stream)
-    served.path.pause()
-    other = made.engine("e2", step=STEP)
+    engine, job = start(made, stream=stream)
+    engine.path.pause()
+    other = made.engine("e2", step=STEP_SECONDS)
     answer = job.get()
     assert answer.complete
     assert answer.text == expected()
     assert len(other.ran) == 1
-    served.path.go_on()
-    nothing_is_left(made)
+    engine.path.go_on()
+    assert_no_request_is_left(made)
 
 
 def test_another_engine_that_fails_ends_no_answer_of_a_frozen_one(made):
-    def fails(sock, address):
+    def fail(sock, address):
         sock.recv(65536)
         failed.append(address)
 
     failed = []
-    served, job = start(made)
-    freeze(served)
-    listening = gevent_server.StreamServer(("127.0.0.1", 0), fails)
-    listening.start()
-    made.raw_server("e2", f"http://127.0.0.1:{listening.server_port}")
+    engine, job = start(made)
+    freeze(engine)
+    failing_server = gevent_server.StreamServer(("127.0.0.1", 0), fail)
+    failing_server.start()
+    made.raw_server("e2", f"http://127.0.0.1:{failing_server.server_port}")
     answer = job.get()
-    listening.stop(0.1)
+    failing_server.stop(0.1)
     assert failed
     assert answer.complete
     assert answer.text == expected()
-    nothing_is_left(made)
+    assert_no_request_is_left(made)
 
 
 def test_an_engine_that_is_silent_for_good_ends_by_the_limit(made):
-    served, job = start(made, limits={"backend_silent_seconds": 2.0})
-    served.path.pause()
+    engine, job = start(made, limits={"backend_silent_seconds": 2.0})
+    engine.path.pause()
     answer = job.get(timeout=15.0)
     assert not answer.complete
-    served.path.go_on()
-    nothing_is_left(made)
+    engine.path.go_on()
+    assert_no_request_is_left(made)
