--- a/packages/dandeliontrail-node/src/dandeliontrail_node/worker.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/worker.py
@@ -81,7 +81,7 @@
             self._host.detach(self._exchange, "worker")
 
     def _serve_dispatch(self):
-        """Carry out the next dispatch; return whether the answer ended."""
+        """Carry out one dispatch; return whether the answer is complete."""
         effect = self._next_effect()
         if isinstance(effect, effects.Replay):
             self._replay(effect.answer)
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/wsgi.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/wsgi.py
@@ -192,7 +192,7 @@
     return _body_problem(
         413,
         "too_large",
-        f"The body is above {limit} bytes.",
+        f"The body exceeds {limit} bytes.",
         "send less, or ask an operator to raise limits.body_bytes",
     )
 
