--- a/packages/dandeliontrail/src/dandeliontrail/decisions/adaptive.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/adaptive.py
@@ -4,9 +4,10 @@
 
 from .. import invariants
 from .. import sentinels
+from . import class_queues
 from . import fairness
 from . import fleet as fleet_module
-from . import lanes
+from . import hedge_searches
 from . import lengths
 from . import limits
 from . import options as options_module
@@ -15,7 +16,6 @@
 from . import refusal
 from . import reserve
 from . import retries
-from . import searches
 from . import shares
 from . import view as view_module
 from . import work as work_module
@@ -45,7 +45,7 @@
         self._reserve = reserve.Reserve()
         self._limiter = limits.Limiter(self._view)
         self._retries = retries.Retries(self._rng)
-        self._searches = searches.Searches()
+        self._searches = hedge_searches.Searches()
         self._shares = shares.Shares()
         self._queues = {}
         self._next_merge = 0.0
@@ -107,7 +107,7 @@
         return work.prompt_tokens + self._lengths.mean(work)
 
     def _check_sheddable(self, work):
-        queue = self._queues[lanes.key_of(work)]
+        queue = self._queues[class_queues.key_of(work)]
         invariants.check(
             work.sheddable or len(queue.pending) >= refusal.MAX_QUEUE_LENGTH,
             "only-sheddable-work-is-shed",
@@ -127,10 +127,12 @@
         return prompt + self._lengths.mean(work)
 
     def _queue_for(self, work):
-        key = lanes.key_of(work)
+        key = class_queues.key_of(work)
         queue = self._queues.get(key)
         if queue is None:
-            queue = self._queues[key] = lanes.ClassQueue(work, self._options)
+            queue = self._queues[key] = class_queues.ClassQueue(
+                work, self._options
+            )
         queue.update_settings(work)
         return queue
 
@@ -218,7 +220,7 @@
         ]
         for queue in queues:
             queue.claims_share = self._claims_minimum_share(queue, now)
-        queues.sort(key=lanes.priority_of)
+        queues.sort(key=class_queues.priority_of)
         return queues
 
     def _claims_minimum_share(self, queue, now):
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/engines.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/engines.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from . import pace
+from . import latency_baseline
 from . import quota
 
 # How long past counts of own work are kept, to be compared with late reports.
@@ -93,8 +93,8 @@
         self.quota = None
         self.allowed = 0
         self.reserve = 0
-        self.gap = pace.SmoothedRatio()
-        self.first = pace.SmoothedRatio()
+        self.gap = latency_baseline.SmoothedRatio()
+        self.first = latency_baseline.SmoothedRatio()
         self.failures = 0
         self.slow = False
         self.next_probe = 0.0
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/fleet.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/fleet.py
@@ -5,7 +5,7 @@
 from . import attempts
 from . import concurrency
 from . import engines
-from . import pace
+from . import latency_baseline
 from . import ramp
 from . import reserve
 
@@ -27,7 +27,7 @@
         self._rng = rng
         self._options = options
         self._engines = {}
-        self._pace = pace.Pace()
+        self._latency_baseline = latency_baseline.Pace()
         self.servers = {}
         self.attempts = attempts.Attempts()
         # Free slots of this instance on all engines, and how many of them are
@@ -36,7 +36,7 @@
         self.reserved = 0.0
         self.ramp = ramp.Ramp()
         self._unprotected_seconds = 4.0
-        self.medians = pace.Medians()
+        self.medians = latency_baseline.Medians()
         self.sharing = Sharing()
 
     def engine(self, server, now):
@@ -143,7 +143,9 @@
         engine = self._engines.get(attempt.server)
         if engine is not None:
             elapsed = now - attempt.placed
-            ratio = self._pace.ratio("first", attempt.work.class_name, elapsed)
+            ratio = self._latency_baseline.ratio(
+                "first", attempt.work.class_name, elapsed
+            )
             engine.first.add(ratio)
             self._update_slow(engine, now)
             self._end_probe(attempt, engine, now)
@@ -191,7 +193,9 @@
         if not ended.gaps_ms:
             return
         gap = sum(ended.gaps_ms) / len(ended.gaps_ms)
-        ratio = self._pace.ratio("gap", attempt.work.class_name, gap)
+        ratio = self._latency_baseline.ratio(
+            "gap", attempt.work.class_name, gap
+        )
         engine.gap.add(ratio)
         self._update_slow(engine, now)
         if self._options.learned_limits:
@@ -200,6 +204,6 @@
 
     def service_seconds(self, work, output_tokens):
         """Return how long ``work`` is expected to run, in seconds."""
-        first = self._pace.usual("first", work.class_name, 0.2)
-        gap = self._pace.usual("gap", work.class_name, 20.0)
+        first = self._latency_baseline.usual("first", work.class_name, 0.2)
+        gap = self._latency_baseline.usual("gap", work.class_name, 20.0)
         return first + gap / 1000.0 * output_tokens
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/shared.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/shared.py
@@ -16,14 +16,14 @@
 
 from .. import sentinels
 from . import attempts
-from . import domain_reach
+from . import domain_reachability
 from . import engine_choice
-from . import placing_pace
-from . import plain_choice
+from . import hedge_searches
+from . import placement_rate
+from . import plain_server_choice
 from . import policy
-from . import read_news
+from . import prefix_announcements
 from . import retry_budget
-from . import searches
 from . import server_table
 from . import service_traits
 from . import work as work_module
@@ -76,17 +76,17 @@
         self._budget = retry_budget.RetryBudget(limits)
         self._queue = {}
         self._attempts = attempts.Attempts()
-        self._searches = searches.Searches()
+        self._searches = hedge_searches.Searches()
         self._table = server_table.ServerTable(state.loads, self._kv_tokens)
         self._engines = engine_choice.EngineChoice(self._table, self._domain)
-        self._prefixes = read_news.PrefixAnnouncements(self._table)
+        self._prefixes = prefix_announcements.PrefixAnnouncements(self._table)
         # The revision that the traits were read from, and those by service.
         self._traits_cache = (None, {})
         self._beliefs = []
         # The usable servers by service, valid for the current round only.
         self._round_usable = {}
-        self._placement_rate = placing_pace.PlacementRate()
-        self._domain_reach = domain_reach.DomainReachability(
+        self._placement_rate = placement_rate.PlacementRate()
+        self._domain_reach = domain_reachability.DomainReachability(
             self._domain, view
         )
 
@@ -286,7 +286,7 @@
                 return None
             return self._refusal(work, sentinels.Reason.NO_SERVER, servers)
         if not work.parts:
-            name = plain_choice.choose(
+            name = plain_server_choice.choose(
                 usable, self._table, self._domain, self._rng
             )
             return self._place(work, name, 0.0, usable, now, hedge)
@@ -470,7 +470,7 @@
                     "failure domain avoided",
                     attempt.server,
                     round(health.failure_share, 3),
-                    domain_reach.SUSPICION_SECONDS,
+                    domain_reachability.SUSPICION_SECONDS,
                     attempt.domain,
                 )
             )
--- a/tests/cover/test_domain_cuts.py
+++ b/tests/cover/test_domain_cuts.py
@@ -5,7 +5,7 @@
 
 from dandeliontrail.components import members as members_component
 from dandeliontrail.coordination import membership
-from dandeliontrail.decisions import domain_reach
+from dandeliontrail.decisions import domain_reachability
 from dandeliontrail.decisions import server_health
 from dandeliontrail.decisions import work as work_module
 
@@ -94,7 +94,7 @@
 def test_a_crashed_server_does_not_make_its_domain_suspect():
     # One engine of fd1 crashes; instances there are heard all the time, and
     # its other engine continues to serve.
-    reachability = domain_reach.DomainReachability("fd0", heard_at(9.9))
+    reachability = domain_reachability.DomainReachability("fd0", heard_at(9.9))
     assert not reachability.record_unreachable("fd1", "e1", 9.8, 10.0)
     assert not reachability.is_partitioned("fd1", 10.0)
 
@@ -102,7 +102,9 @@
 def test_without_heard_instances_two_servers_show_a_partition():
     # In a cluster too large for a full mesh, most instances hear no instance
     # of another domain directly.
-    reachability = domain_reach.DomainReachability("fd0", heard_at(None))
+    reachability = domain_reachability.DomainReachability(
+        "fd0", heard_at(None)
+    )
     assert not reachability.record_unreachable("fd1", "e1", 0.0, 0.2)
     assert reachability.record_unreachable("fd1", "e4", 0.1, 0.3)
     assert reachability.is_partitioned("fd1", 0.3)
@@ -113,7 +115,7 @@
 
 
 def test_the_own_domain_never_counts_as_partitioned():
-    reachability = domain_reach.DomainReachability("fd0", heard_at(0.0))
+    reachability = domain_reachability.DomainReachability("fd0", heard_at(0.0))
     assert not reachability.record_unreachable("fd0", "e0", 1.0, 1.2)
     assert not reachability.record_unreachable("fd0", "e3", 1.0, 1.2)
     assert not reachability.is_partitioned("fd0", 1.2)
--- a/tests/cover/test_shared_policy.py
+++ b/tests/cover/test_shared_policy.py
@@ -8,7 +8,7 @@
 from dandeliontrail.coordination import server_loads
 from dandeliontrail.decisions import affinity
 from dandeliontrail.decisions import engine_choice
-from dandeliontrail.decisions import read_news
+from dandeliontrail.decisions import prefix_announcements
 from dandeliontrail.decisions import shared
 from dandeliontrail.decisions import work as work_module
 from dandeliontrail import sentinels
@@ -64,7 +64,7 @@
     other.review(7)
     other.next()
     assert other.policy.take_reads() == []
-    other.now += read_news.REANNOUNCE_SECONDS + 1.0
+    other.now += prefix_announcements.REANNOUNCE_SECONDS + 1.0
     for attempt in list(other.policy._attempts):
         other.policy.first_output(attempt, other.now)
     other.review(7)
