--- a/packages/dandeliontrail/src/dandeliontrail/components/endings.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/endings.py
@@ -4,7 +4,7 @@
 from . import answers
 from ..coordination import claim_entries
 from ..decisions import work as work_module
-from . import life
+from . import request_lifecycle
 
 Stand = claim_entries.Stand
 
@@ -32,7 +32,9 @@
         """
         begun = request.begun > 0
         request.transition_to(
-            life.Phase.UNKNOWN if begun else life.Phase.NOT_RUN
+            request_lifecycle.Phase.UNKNOWN
+            if begun
+            else request_lifecycle.Phase.NOT_RUN
         )
         work = request.work
         self._lives.pop(work.request_id, None)
@@ -50,10 +52,11 @@
         """
         if not request.holds_key:
             return []
-        if request.phase is life.Phase.COMPLETE:
+        if request.phase is request_lifecycle.Phase.COMPLETE:
             stand = Stand.HELD
         elif (
-            request.phase is life.Phase.UNKNOWN and not request.work.repeatable
+            request.phase is request_lifecycle.Phase.UNKNOWN
+            and not request.work.repeatable
         ):
             stand = Stand.UNKNOWN
         else:
@@ -68,16 +71,18 @@
         out = self.cancel(request, hedge.server) if hedge else []
         out.append(effects.Abandon(request_id))
         out.append(self._decision(request, reason, now))
-        if request.phase is life.Phase.CLAIMING:
+        if request.phase is request_lifecycle.Phase.CLAIMING:
             return out + self._claims.forget(request_id, now)
-        if request.phase is life.Phase.QUEUED:
+        if request.phase is request_lifecycle.Phase.QUEUED:
             self._policy.withdraw(request_id)
         else:
             self.report_attempt_end(request, now, wasted=True)
             out.extend(self.cancel(request, request.server))
         begun = request.begun > 0
         request.transition_to(
-            life.Phase.UNKNOWN if begun else life.Phase.NOT_RUN
+            request_lifecycle.Phase.UNKNOWN
+            if begun
+            else request_lifecycle.Phase.NOT_RUN
         )
         return out + self.end_claim(request, now)
 
--- a/packages/dandeliontrail/src/dandeliontrail/components/hedges.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/hedges.py
@@ -3,7 +3,7 @@
 A silent server may still answer, so its attempt is cancelled only once the
 hedge produces output.  Until then the request has two attempts, each counted
 as load on its own server.  State shared by both, such as the number of servers
-reached, is kept in :mod:`.life`.
+reached, is kept in :mod:`.request_lifecycle`.
 """
 
 from .. import effects
--- a/packages/dandeliontrail/src/dandeliontrail/components/requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/requests.py
@@ -12,7 +12,6 @@
 from .. import sentinels
 from . import answers
 from . import attainment
-from . import begun
 from . import claim_rounds
 from ..coordination import claims as claims_module
 from ..coordination import server_loads
@@ -24,8 +23,9 @@
 from . import endings
 from . import hedges
 from . import intake
-from . import life
 from . import measures
+from . import request_lifecycle
+from . import start_counter
 
 # Delay before a request that a busy server rejected is retried.  Without it
 # the request would be resent as fast as the server can reject it.
@@ -48,7 +48,7 @@
 class Requests(claim_rounds.Listener, interfaces.Component):
     """Tracks open requests and applies the decisions of a policy.
 
-    ``lives`` maps the id of each open request to its ``life.Life``.
+    ``lives`` maps the id of each open request to its ``request_lifecycle.Life``.
     """
 
     def __init__(self, state, policy, claimer, ends):
@@ -59,7 +59,7 @@
         claimer.listener = self
         self._delayed_retries = []
         self._early_requests = early_requests.EarlyRequests()
-        self._start_counter = begun.StartCounter(state.duties)
+        self._start_counter = start_counter.StartCounter(state.duties)
         self._hedges = hedges.Hedges(policy, ends)
         self.lives = {}
         self._endings = endings.Endings(
@@ -101,11 +101,11 @@
         work = intake.work_of(self._state, event, now)
         if not work:
             return [answers.refusal(event.request_id, work)]
-        request = life.Life(work)
+        request = request_lifecycle.Life(work)
         self.lives[work.request_id] = request
         if not event.idempotency_key:
             return self._enqueue(request, now)
-        request.transition_to(life.Phase.CLAIMING)
+        request.transition_to(request_lifecycle.Phase.CLAIMING)
         wanted = claim_rounds.Wanted(
             work.request_id,
             claims_module.key_of(work.organisation, event.idempotency_key),
@@ -134,7 +134,7 @@
                 answers.refusal(event.request_id, work),
                 answers.turned_away_line(self._state, event, work, now),
             ]
-        request = life.Life(work)
+        request = request_lifecycle.Life(work)
         self.lives[work.request_id] = request
         return self._enqueue(request, now)
 
@@ -153,7 +153,7 @@
     def claim_answered(self, request_id, answer, now):
         """Replay the stored answer of the key."""
         request = self.lives.pop(request_id)
-        request.transition_to(life.Phase.COMPLETE)
+        request.transition_to(request_lifecycle.Phase.COMPLETE)
         return [
             effects.Replay(request_id, answer),
             answers.decision(request.work, "replayed", answer.backend_server),
@@ -163,7 +163,9 @@
         """Refuse a request that was not granted its key."""
         request = self.lives.pop(request_id)
         request.transition_to(
-            life.Phase.UNKNOWN if ran else life.Phase.NOT_RUN
+            request_lifecycle.Phase.UNKNOWN
+            if ran
+            else request_lifecycle.Phase.NOT_RUN
         )
         return [
             answers.refusal(request_id, nothing, begun=ran),
@@ -176,7 +178,7 @@
         offered = self._policy.offer(request.work, now)
         if not offered:
             return self._endings.refuse(request, offered, now)
-        request.transition_to(life.Phase.QUEUED)
+        request.transition_to(request_lifecycle.Phase.QUEUED)
         return self._run_policy(now)
 
     def _run_policy(self, now):
@@ -212,11 +214,12 @@
             if request.work.fingerprint not in fingerprints:
                 continue
             out.extend(self._hedges.withdraw(request, now))
-            if request.phase is life.Phase.QUEUED:
+            if request.phase is request_lifecycle.Phase.QUEUED:
                 self._policy.withdraw(request.work.request_id)
                 out.extend(self._endings.refuse(request, ENDS_SERVERS, now))
-            elif request.phase in life.AWAITING_OUTPUT and _is_stoppable(
-                request.work
+            elif (
+                request.phase in request_lifecycle.AWAITING_OUTPUT
+                and _is_stoppable(request.work)
             ):
                 out.extend(self._cut_off_blocked(request, now))
         return out
@@ -387,7 +390,7 @@
         request = self._find_current(event)
         if request is None:
             return []
-        request.transition_to(life.Phase.STREAMING)
+        request.transition_to(request_lifecycle.Phase.STREAMING)
         request.output_at = now
         self._policy.first_output(event.request_id, now)
         if request.first_output:
@@ -408,7 +411,7 @@
         if request is None:
             return []
         self._hedges.drop(request, now)
-        request.transition_to(life.Phase.COMPLETE)
+        request.transition_to(request_lifecycle.Phase.COMPLETE)
         work = request.work
         del self.lives[work.request_id]
         self._ends.served(work.fingerprint, now)
@@ -460,7 +463,7 @@
             nothing = sentinels.Nothing(sentinels.Reason.SERVER_FAILED)
             return self._refuse(request, nothing, now)
         out = self._endings.cancel(request, request.server)
-        request.transition_to(life.Phase.QUEUED)
+        request.transition_to(request_lifecycle.Phase.QUEUED)
         if self._hedges.continue_with_hedge(request):
             return out + self._run_policy(now)
         if request.work.routed:
@@ -473,8 +476,9 @@
         if request is None:
             self._early_requests.drop(event.request_id)
             return []
-        if request.phase not in life.WAITING and not _is_stoppable(
-            request.work
+        if (
+            request.phase not in request_lifecycle.WAITING
+            and not _is_stoppable(request.work)
         ):
             # It may have begun, and half a report or half an order is worse
             # than a complete one that the caller requests again.
@@ -483,7 +487,7 @@
 
     def _overdue(self, event, now):
         request = self.lives.get(event.request_id)
-        if request is None or request.phase in life.WAITING:
+        if request is None or request.phase in request_lifecycle.WAITING:
             return []
         if not request.work.repeatable and not request.work.routed:
             return []
@@ -502,7 +506,10 @@
         request = self.lives.get(event.request_id)
         if request is None:
             return self._cut_short_early(event.request_id)
-        begun = request.begun > 0 or request.phase is life.Phase.CLAIMING
+        begun = (
+            request.begun > 0
+            or request.phase is request_lifecycle.Phase.CLAIMING
+        )
         refusal = answers.refusal(event.request_id, DRAINING, begun=begun)
         out = self._stop(request, "cut_short", now)
         return [effects.CutOff(refusal)] + out
--- a/packages/dandeliontrail/src/dandeliontrail/components/server_ends.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/server_ends.py
@@ -96,7 +96,7 @@
     def ended_under(self, attempt, event, now):
         """Record that an attempt failed, possibly because its server ended.
 
-        ``attempt`` is a ``life.Life``, whose current attempt is meant, or a
+        ``attempt`` is a ``request_lifecycle.Life``, whose current attempt is meant, or a
         hedge.
         """
         fingerprint = attempt.work.fingerprint
--- a/packages/dandeliontrail/src/dandeliontrail/components/server_orders.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/server_orders.py
@@ -7,9 +7,9 @@
 """
 
 from .. import effects
+from . import call_scheduler
 from ..coordination import server_counts
 from ..decisions import server_counts as decision
-from . import duty_part
 
 CHECK_INTERVAL_SECONDS = 0.5
 # The number of serving servers is taken as needed once it has been stable for
@@ -23,7 +23,7 @@
 NEVER = float("inf")
 
 
-class ServerOrders(duty_part.CallScheduler):
+class ServerOrders(call_scheduler.CallScheduler):
     """Keeps the orders of all services in line with the serving servers."""
 
     def __init__(self, state, propose):
--- a/packages/dandeliontrail/src/dandeliontrail/components/window_decisions.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/window_decisions.py
@@ -8,10 +8,10 @@
 """
 
 from .. import effects
+from . import call_scheduler
 from ..coordination import member_records
 from ..coordination import usage_windows
 from . import duties_state
-from . import duty_part
 
 # A window is decided once all instances have reported it completely, but not
 # before this time after its end.  Without failures, the last reports have
@@ -24,7 +24,7 @@
 LEFT = member_records.Standing.LEFT
 
 
-class WindowDecisions(duty_part.CallScheduler):
+class WindowDecisions(call_scheduler.CallScheduler):
     """Adds up the reports of instances and has the log decide the sums."""
 
     def __init__(self, state, propose):
--- a/tests/cover/test_request_life.py
+++ b/tests/cover/test_request_life.py
@@ -7,7 +7,7 @@
 import pytest
 
 import dandeliontrail
-from dandeliontrail.components import life
+from dandeliontrail.components import request_lifecycle
 from dandeliontrail.decisions import baselines
 from dandeliontrail.decisions import work
 from dandeliontrail import effects
@@ -123,12 +123,12 @@
 
 def test_not_run_cannot_be_reported_once_work_may_have_begun():
     item = work.Work("r1", "lab", "lookup", "small", "", 0, 0.0, 1.0)
-    request = life.Life(item)
-    request.transition_to(life.Phase.QUEUED)
-    request.transition_to(life.Phase.DISPATCHED)
+    request = request_lifecycle.Life(item)
+    request.transition_to(request_lifecycle.Phase.QUEUED)
+    request.transition_to(request_lifecycle.Phase.DISPATCHED)
     request.mark_begun()
     with pytest.raises(dandeliontrail.InvariantBroken):
-        request.transition_to(life.Phase.NOT_RUN)
+        request.transition_to(request_lifecycle.Phase.NOT_RUN)
 
 
 class StalePolicy(baselines.PriorityLeastOutstanding):
