--- a/packages/dandeliontrail/src/dandeliontrail/components/state.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/state.py
@@ -10,8 +10,8 @@
 from ..coordination import ledger
 from ..coordination import membership
 from ..coordination import quorum_log
-from ..coordination import quorum_log_neighbours as neighbours
 from ..coordination import quorum_log_options
+from ..coordination import quorum_log_peers
 from ..coordination import server_ends
 from ..coordination import server_loads
 from ..coordination import servers
@@ -95,7 +95,7 @@
     log = quorum_log.QuorumLog(
         identity.instance,
         rng,
-        neighbours.KnownMembers(identity, members),
+        quorum_log_peers.KnownMembers(identity, members),
         keeper,
         bootstrap,
         log_options,
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log.py
@@ -44,22 +44,22 @@
 
 from .. import effects
 from .. import errors
+from . import quorum_log_bootstrap as bootstrap_module
 from . import quorum_log_catch_up as catch_up_module
 from . import quorum_log_core as core_module
+from . import quorum_log_dissemination as dissemination_module
 from . import quorum_log_election as election_module
 from . import quorum_log_follower as follower_module
-from . import quorum_log_founding as founding_module
 from . import quorum_log_freshness as freshness_module
+from . import quorum_log_freshness_polling as polling_module
 from . import quorum_log_leader as leader_module
 from . import quorum_log_machine as machine_module
 from . import quorum_log_messages as messages
 from . import quorum_log_options as options_module
 from . import quorum_log_proposals as proposals_module
-from . import quorum_log_proving as proving_module
+from . import quorum_log_readiness as readiness_module
 from . import quorum_log_records as records
 from . import quorum_log_repair as repair_module
-from . import quorum_log_spreading as spreading_module
-from . import quorum_log_start as start_module
 from . import quorum_log_status as status_module
 from . import quorum_log_voters as voters_module
 
@@ -102,7 +102,7 @@
         self._follower = follower_module.Follower(
             core, self._election, self._freshness
         )
-        self._founding = founding_module.Founding(
+        self._founding = bootstrap_module.Founding(
             core, bootstrap if options.may_found else ()
         )
         self._catch_up = catch_up_module.CatchUp(core, neighbours)
@@ -112,10 +112,10 @@
         self._voter_changes = voters_module.VoterChanges(
             core, self._leadership, self._founding
         )
-        self._readiness = start_module.Readiness(
+        self._readiness = readiness_module.Readiness(
             core, self._freshness, self._catch_up, neighbours
         )
-        self._polling = proving_module.FreshnessPolling(
+        self._polling = polling_module.FreshnessPolling(
             core, self._freshness, neighbours, options.proves_often
         )
         self._voter_repair = repair_module.VoterRepair(
@@ -127,7 +127,9 @@
         )
         # True if the disk held a log when this process started.
         self.resumed = False
-        self._dissemination = spreading_module.Dissemination(core, neighbours)
+        self._dissemination = dissemination_module.Dissemination(
+            core, neighbours
+        )
         self._settled_index = 0
         self._logged_stale = False
         self._logged_leader = ""
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_options.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_options.py
@@ -12,7 +12,7 @@
     is above zero, the leader maintains that many voters and replaces lost
     ones; see :mod:`.quorum_log_repair`.  With ``proves_often`` an instance
     polls the keepers continuously for a guaranteed bound on the age of its
-    state; see :mod:`.quorum_log_proving`.
+    state; see :mod:`.quorum_log_freshness_polling`.
     """
 
     may_found: bool = True
--- a/tests/common/quorum_world.py
+++ b/tests/common/quorum_world.py
@@ -15,8 +15,8 @@
 from dandeliontrail.coordination import messages
 from dandeliontrail.coordination import quorum_log
 from dandeliontrail.coordination import quorum_log_entries as entries
-from dandeliontrail.coordination import quorum_log_neighbours
 from dandeliontrail.coordination import quorum_log_options
+from dandeliontrail.coordination import quorum_log_peers
 from dandeliontrail.coordination import quorum_log_records as records
 from dandeliontrail import effects
 from dandeliontrail.resources import changes
@@ -26,7 +26,7 @@
 STEP = 0.1
 
 
-class FakeNeighbours(quorum_log_neighbours.Neighbours):
+class FakeNeighbours(quorum_log_peers.Neighbours):
     """Uses names as addresses; reachable nodes count as alive."""
 
     def __init__(self, world, name):
--- a/tests/cover/test_quorum_rules.py
+++ b/tests/cover/test_quorum_rules.py
@@ -6,9 +6,9 @@
 
 import dandeliontrail
 from dandeliontrail.coordination import messages
+from dandeliontrail.coordination import quorum_log_bootstrap as bootstrap
 from dandeliontrail.coordination import quorum_log_core as core_module
 from dandeliontrail.coordination import quorum_log_entries as entries
-from dandeliontrail.coordination import quorum_log_founding as founding
 from dandeliontrail.coordination import quorum_log_machine as machine
 from dandeliontrail.coordination import quorum_log_messages as log_messages
 from dandeliontrail.coordination import quorum_log_records as records
@@ -131,7 +131,7 @@
     # An entry of an older term that is on a majority of the disks may still
     # be replaced by another leader (Ongaro and Ousterhout, 2014, figure 8).
     founders = [entries.Voter(f"k{n}", f"k{n}-0") for n in (1, 2, 3)]
-    log_id = founding.log_id_of(founders)
+    log_id = bootstrap.log_id_of(founders)
     start = machine.Checkpoint(log_id, founders, 0, 0, founders, {})
     change = quorum_machine.put("old", "p1", 1, None)
     world = quorum_world.QuorumWorld(random.Random(1), spares=0, learners=0)
