--- a/packages/dandeliontrail/src/dandeliontrail/components/members.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/members.py
@@ -120,7 +120,8 @@
     def _report_silence(self, now):
         """Log which failure domains became silent or are heard again.
 
-        Request placement depends on this; see ``decisions.domain_reachability``.
+        Request placement depends on this; see
+        ``decisions.domain_reachability``.
         """
         silent = self._members.silent_domains(now)
         before, self._logged_silent_domains = (
--- a/packages/dandeliontrail/src/dandeliontrail/components/request_lifecycle.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/request_lifecycle.py
@@ -81,7 +81,7 @@
     output_at: float = 0.0
 
 
-class Life(msgspec.Struct):
+class RequestLifecycle(msgspec.Struct):
     """One request from its arrival to its outcome.
 
     Times are in seconds on the clock of this instance.
--- a/packages/dandeliontrail/src/dandeliontrail/components/requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/requests.py
@@ -48,7 +48,8 @@
 class Requests(claim_rounds.Listener, interfaces.Component):
     """Tracks open requests and applies the decisions of a policy.
 
-    ``lives`` maps the id of each open request to its ``request_lifecycle.Life``.
+    ``lives`` maps the id of each open request to its
+    ``request_lifecycle.RequestLifecycle``.
     """
 
     def __init__(self, state, policy, claimer, ends):
@@ -101,7 +102,7 @@
         work = intake.work_of(self._state, event, now)
         if not work:
             return [answers.refusal(event.request_id, work)]
-        request = request_lifecycle.Life(work)
+        request = request_lifecycle.RequestLifecycle(work)
         self.lives[work.request_id] = request
         if not event.idempotency_key:
             return self._enqueue(request, now)
@@ -134,7 +135,7 @@
                 answers.refusal(event.request_id, work),
                 answers.turned_away_line(self._state, event, work, now),
             ]
-        request = request_lifecycle.Life(work)
+        request = request_lifecycle.RequestLifecycle(work)
         self.lives[work.request_id] = request
         return self._enqueue(request, now)
 
--- a/packages/dandeliontrail/src/dandeliontrail/components/server_ends.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/server_ends.py
@@ -96,8 +96,8 @@
     def ended_under(self, attempt, event, now):
         """Record that an attempt failed, possibly because its server ended.
 
-        ``attempt`` is a ``request_lifecycle.Life``, whose current attempt is meant, or a
-        hedge.
+        ``attempt`` is a ``request_lifecycle.RequestLifecycle``, whose current
+        attempt is meant, or a hedge.
         """
         fingerprint = attempt.work.fingerprint
         if not fingerprint or fingerprint in self._recently_served:
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/retries.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/retries.py
@@ -8,8 +8,8 @@
 free slot.
 
 Work that certainly did not begin cost nothing and returns to its queue at
-once, without using the budget. ``components.request_lifecycle`` makes sure that
-non-repeatable work that may have begun is never offered for a retry.
+once, without using the budget. ``components.request_lifecycle`` makes sure
+that non-repeatable work that may have begun is never offered for a retry.
 """
 
 import heapq
--- a/tests/cover/test_begun.py
+++ b/tests/cover/test_begun.py
@@ -27,7 +27,7 @@
     made = work.Work(
         "r", organisation, "read", "m", "app", 0, 0.0, 10.0, streamed=streamed
     )
-    return request_lifecycle.Life(made, dispatched=dispatched)
+    return request_lifecycle.RequestLifecycle(made, dispatched=dispatched)
 
 
 def counted(duties):
--- a/tests/cover/test_orders_component.py
+++ b/tests/cover/test_orders_component.py
@@ -130,7 +130,9 @@
     made.models = [announcements.Model("small", "2")]
     state.registry.learn(made, 0.0, 0.0)
     item = work.Work("r", "lab", "lookup", "small", "", 0, 0.0, 9.0)
-    held = request_lifecycle.Life(item, server="e1", dispatched=1.0)
+    held = request_lifecycle.RequestLifecycle(
+        item, server="e1", dispatched=1.0
+    )
     for first_output in (1.05, 1.2):
         held.first_output = first_output
         attainment.count(state, held, 2.0)
--- a/tests/cover/test_request_life.py
+++ b/tests/cover/test_request_life.py
@@ -123,7 +123,7 @@
 
 def test_not_run_cannot_be_reported_once_work_may_have_begun():
     item = work.Work("r1", "lab", "lookup", "small", "", 0, 0.0, 1.0)
-    request = request_lifecycle.Life(item)
+    request = request_lifecycle.RequestLifecycle(item)
     request.transition_to(request_lifecycle.Phase.QUEUED)
     request.transition_to(request_lifecycle.Phase.DISPATCHED)
     request.mark_begun()
