--- a/packages/dandeliontrail/src/dandeliontrail/decisions/adaptive.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/adaptive.py
@@ -45,7 +45,7 @@
         self._reserve = reserve.Reserve()
         self._limiter = limits.Limiter(self._view)
         self._retries = retries.Retries(self._rng)
-        self._searches = hedge_searches.Searches()
+        self._searches = hedge_searches.HedgeSearches()
         self._shares = shares.Shares()
         self._queues = {}
         self._next_merge = 0.0
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/hedge_searches.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/hedge_searches.py
@@ -14,10 +14,10 @@
     due: float
 
 
-class Searches:
+class HedgeSearches:
     """The pending searches of one instance, by request.
 
-    >>> bool(Searches())
+    >>> bool(HedgeSearches())
     False
     """
 
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/shared.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/shared.py
@@ -76,7 +76,7 @@
         self._budget = retry_budget.RetryBudget(limits)
         self._queue = {}
         self._attempts = attempts.Attempts()
-        self._searches = hedge_searches.Searches()
+        self._searches = hedge_searches.HedgeSearches()
         self._table = server_table.ServerTable(state.loads, self._kv_tokens)
         self._engines = engine_choice.EngineChoice(self._table, self._domain)
         self._prefixes = prefix_announcements.PrefixAnnouncements(self._table)
