--- a/packages/dandeliontrail/src/dandeliontrail/components/dispatching.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/dispatching.py
@@ -32,9 +32,9 @@
         queue_waits.append(
             measures.since_received(work, reports.Metric.QUEUE_WAIT, now)
         )
-    attempt_patience = patience.ENDLESS
+    timeouts = patience.NO_SILENCE_TIMEOUTS
     if work.routed:
-        attempt_patience = patience.of_attempt(work, request.begun)
+        timeouts = patience.of_attempt(work, request.begun)
     return [
         effects.Dispatch(
             work.request_id,
@@ -43,7 +43,7 @@
             announcement.url,
             work.start_priority if work.routed else work.priority,
             work.repeatable,
-            attempt_patience,
+            timeouts,
         ),
         answers.decision(work, "dispatched", server, **inputs),
         *queue_waits,
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/patience.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/patience.py
@@ -18,11 +18,11 @@
     >>> chat.first_token_ms, chat.between_tokens_ms = 1200.0, 400.0
     >>> chat.streamed, chat.max_attempts = True, 2
     >>> of_attempt(chat, 0)
-    Patience(first=2.4, between=0.5)
+    SilenceTimeouts(first=2.4, between=0.5)
     >>> chat.prompt_tokens = 30_000
     >>> of_attempt(chat, 0)
-    Patience(first=3.9, between=0.5)
-    >>> of_attempt(chat, 1) is ENDLESS
+    SilenceTimeouts(first=3.9, between=0.5)
+    >>> of_attempt(chat, 1) is NO_SILENCE_TIMEOUTS
     True
 """
 
@@ -38,7 +38,7 @@
 MIN_TIMEOUT_SECONDS = 0.5
 
 
-class Patience(msgspec.Struct, frozen=True):
+class SilenceTimeouts(msgspec.Struct, frozen=True):
     """Timeouts without a byte, in seconds; ``None`` is the deadline.
 
     ``first`` is the time until the first output, ``between`` the time from
@@ -49,21 +49,21 @@
     between: float | None = None
 
 
-ENDLESS = Patience()
+NO_SILENCE_TIMEOUTS = SilenceTimeouts()
 
 
 def of_attempt(work, begun):
-    """Return the :class:`Patience` with the next attempt of ``work``.
+    """Return the :class:`SilenceTimeouts` for the next attempt of ``work``.
 
     ``begun`` attempts have been made before it.  Work that may run only once
     or has no attempt left has no timeout but its deadline.
     """
     if not work.repeatable or begun + 1 >= work.max_attempts:
-        return ENDLESS
+        return NO_SILENCE_TIMEOUTS
     first = _timeout(work.first_token_ms, FIRST_OUTPUT_FACTOR)
     if first is not None:
         first += work.prompt_tokens / MIN_PREFILL_TOKENS_PER_SECOND
-    return Patience(first, _timeout(work.between_tokens_ms, 1.0))
+    return SilenceTimeouts(first, _timeout(work.between_tokens_ms, 1.0))
 
 
 def _timeout(target_ms, factor):
--- a/packages/dandeliontrail/src/dandeliontrail/effects/requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/effects/requests.py
@@ -21,7 +21,9 @@
     url: str
     priority: int
     repeatable: bool = True
-    patience: patience_module.Patience = patience_module.ENDLESS
+    patience: patience_module.SilenceTimeouts = (
+        patience_module.NO_SILENCE_TIMEOUTS
+    )
 
 
 class Replay(msgspec.Struct):
