--- a/packages/dandeliontrail/src/dandeliontrail/decisions/fleet.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/fleet.py
@@ -27,7 +27,7 @@
         self._rng = rng
         self._options = options
         self._engines = {}
-        self._latency_baseline = latency_baseline.Pace()
+        self._latency_baseline = latency_baseline.LatencyBaseline()
         self.servers = {}
         self.attempts = attempts.Attempts()
         # Free slots of this instance on all engines, and how many of them are
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/latency_baseline.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/latency_baseline.py
@@ -44,7 +44,7 @@
         self.value += weight * (ratio - self.value)
 
 
-class Pace:
+class LatencyBaseline:
     """The usual time to first token and gap between tokens, by class.
 
     The ``kind`` of a sample says which of the two it is; it is part of the
