--- a/packages/dandeliontrail/src/dandeliontrail/decisions/concurrency.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/concurrency.py
@@ -13,7 +13,7 @@
 INCREASE_STEP = 0.05
 
 
-def learn(engine, work, gap_ms, slots):
+def adjust_limit(engine, work, gap_ms, slots):
     """Adjust the limit of an engine by the mean gap of one answer, in ms."""
     target = work.between_tokens_ms
     if target is None:
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/engines.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/engines.py
@@ -25,11 +25,11 @@
 # After this many failures in a row a server gets no work but probes.
 FAILURES_TO_DRAIN_IDLE = 2
 # The same for a server that still runs work of this instance: it may just be
-# full and refuse more, which is no reason to drain it unless it happens again
-# and again.
+# full and refuse more, which is no reason to mark it slow unless it happens
+# again and again.
 FAILURES_TO_DRAIN_BUSY = 6
 # A slow server gets one probe per this many seconds.
-PROBE_INTERVAL = 3.0
+PROBE_INTERVAL_SECONDS = 3.0
 
 
 class Attempt(msgspec.Struct):
@@ -48,7 +48,7 @@
     probe: bool = False
 
 
-class Engine:
+class EngineEstimate:
     """The estimate of one backend server's load and latency.
 
     ``own`` counts the outstanding requests of this instance, ``others`` those
@@ -111,7 +111,7 @@
             self.slots = slots
             self.limit = float(slots)
 
-    def change_own(self, by, now):
+    def change_own_count(self, by, now):
         """Change the own count and keep the former one in the history."""
         self._history.append((now, self.own))
         while self._history[0][0] < now - HISTORY_SECONDS:
@@ -159,7 +159,7 @@
         expected = self.kv_reported + placed_since * instances + footprint
         return expected <= KV_BORROWED_FRACTION * kv_tokens
 
-    def share(self, instances, draw):
+    def update_quota(self, instances, draw):
         """Update this instance's quota of the server (:mod:`.quota`).
 
         ``draw``, random between 0 and 1, decides the rounding of ``allowed``.
@@ -178,19 +178,19 @@
         if self.total() < self.limit - self.reserve:
             self.allowed = max(1, self.allowed)
 
-    def fail(self, now):
+    def record_failure(self, now):
         """Record an attempt that broke off or could not connect."""
         self.failures += 1
         threshold = (
             FAILURES_TO_DRAIN_IDLE if not self.own else FAILURES_TO_DRAIN_BUSY
         )
         if self.failures >= threshold:
-            self.drain(now)
+            self.mark_slow(now)
 
-    def drain(self, now):
+    def mark_slow(self, now):
         """Stop giving the server work, except for probes."""
         self.slow = True
-        self.next_probe = now + PROBE_INTERVAL
+        self.next_probe = now + PROBE_INTERVAL_SECONDS
 
     def may_probe(self, now):
         """Return whether a slow server is due for a probe."""
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/fleet.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/fleet.py
@@ -44,7 +44,7 @@
         name = server.announcement.backend_server
         engine = self._engines.get(name)
         if engine is None:
-            engine = engines.Engine(name, server.announcement.slots)
+            engine = engines.EngineEstimate(name, server.announcement.slots)
             self._engines[name] = engine
             self.servers[name] = server
             self.observe(server, now)
@@ -67,7 +67,7 @@
         if self._options.aged_reports:
             engine.report(load, measured)
         if self._options.shared_room:
-            engine.share(self.sharing.instances, self._rng.random())
+            engine.update_quota(self.sharing.instances, self._rng.random())
         else:
             engine.quota = engine.limit
             engine.allowed = max(
@@ -124,7 +124,7 @@
     def place(self, work, server, footprint, now, hedge=False):
         """Count an attempt, or a hedge, as outstanding."""
         engine = self._engines[server]
-        engine.change_own(1, now)
+        engine.change_own_count(1, now)
         engine.kv_own += footprint
         self._count_free(engine)
         engine.kv_placed.append((now, footprint))
@@ -155,14 +155,14 @@
         engine.failures = 0
         slow = self.medians.slow(engine)
         if slow and not engine.slow:
-            engine.drain(now)
+            engine.mark_slow(now)
         engine.slow = slow
 
     def _end_probe(self, attempt, engine, now):
         if attempt.probe:
             attempt.probe = False
             engine.probing = False
-            engine.next_probe = now + engines.PROBE_INTERVAL
+            engine.next_probe = now + engines.PROBE_INTERVAL_SECONDS
 
     def ended(self, ended, now):
         """Remove an attempt and learn from it; return it or ``None``."""
@@ -172,11 +172,11 @@
         engine = self._engines.get(attempt.server)
         if engine is None:
             return attempt
-        engine.change_own(-1, now)
+        engine.change_own_count(-1, now)
         engine.kv_own -= attempt.footprint
         self._end_probe(attempt, engine, now)
         if ended.failed:
-            engine.fail(now)
+            engine.record_failure(now)
         elif not ended.wasted:
             self._learn_from_answer(attempt, engine, ended, now)
         self._count_free(engine)
@@ -200,7 +200,7 @@
         self._update_slow(engine, now)
         if self._options.learned_limits:
             slots = self.servers[engine.name].announcement.slots
-            concurrency.learn(engine, attempt.work, gap, slots)
+            concurrency.adjust_limit(engine, attempt.work, gap, slots)
 
     def service_seconds(self, work, output_tokens):
         """Return how long ``work`` is expected to run, in seconds."""
