--- a/packages/dandeliontrail/src/dandeliontrail/components/download_slots.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/download_slots.py
@@ -124,7 +124,7 @@
         return True
     if placements.is_fulfilled(item.order, engines):
         return True
-    return now - item.given_at > model_orders.LONGEST_LOAD
+    return now - item.given_at > model_orders.MAX_LOAD_SECONDS
 
 
 def _no_effects(settled, now):
--- a/packages/dandeliontrail/src/dandeliontrail/components/orders.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/orders.py
@@ -141,7 +141,7 @@
 
     def _plan_and_send(self, wanted, engines, now):
         out = self._finish_orders(engines, now)
-        view = model_orders.View(
+        view = model_orders.PlanInputs(
             engines,
             self._pending,
             self._refused_until,
@@ -207,7 +207,7 @@
                 out.extend(
                     self._finish_order(key, "backend_server_restarted", now)
                 )
-            elif now - item.given_at > model_orders.LONGEST_LOAD:
+            elif now - item.given_at > model_orders.MAX_LOAD_SECONDS:
                 out.extend(self._finish_order(key, "given_up", now))
         return out
 
@@ -222,7 +222,7 @@
                 continue
             order = model_orders.parse_key(slot.order)
             announcement = engines.get(order.server)
-            self._pending[slot.order] = model_orders.Awaited(
+            self._pending[slot.order] = model_orders.PendingOrder(
                 order,
                 "",
                 now,
@@ -233,7 +233,7 @@
     def _handle_lost_engine(self, key, item, now):
         """Stop tracking an order to a silent engine, to try another one."""
         del self._pending[key]
-        self._refused_until[key] = now + model_orders.RETRY_AFTER
+        self._refused_until[key] = now + model_orders.ORDER_RETRY_SECONDS
         if item.order.kind is LOAD:
             self._slots.keep_for_lost_load(item)
         return [
@@ -243,7 +243,7 @@
     def _finish_order(self, key, reason, now):
         item = self._pending.pop(key)
         if reason != "done":
-            self._refused_until[key] = now + model_orders.RETRY_AFTER
+            self._refused_until[key] = now + model_orders.ORDER_RETRY_SECONDS
         out = [self._log_effect(item.order, item.fencing, reason)]
         if item.order.kind is LOAD:
             out.extend(self._slots.give_back(key, item.fencing, now))
@@ -290,7 +290,7 @@
         fencing = self._lease.grant.fencing
         item = self._pending.get(key)
         if item is None:
-            item = model_orders.Awaited(
+            item = model_orders.PendingOrder(
                 order, placement, now, fencing, announcement.epoch, attempts=0
             )
             self._pending[key] = item
--- a/packages/dandeliontrail/src/dandeliontrail/components/placements.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/placements.py
@@ -23,7 +23,7 @@
     """Return each placement with the engines that may hold its copies."""
     placements = state.store.objects[specs.Kind.MODEL_PLACEMENTS]
     return [
-        model_orders.Wanted(
+        model_orders.DeclaredPlacement(
             name,
             placements[name].spec,
             _allowed_engines(state, placements[name].spec, engines),
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/model_orders.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/model_orders.py
@@ -23,9 +23,9 @@
 MAX_DISTURBED_SHARE = 0.1
 # A load is given up if no report shows it after this many seconds. 400 GB of
 # weights at 1 GB/s take 400 s, and reports lag by seconds.
-LONGEST_LOAD = 900.0
+MAX_LOAD_SECONDS = 900.0
 # Seconds before a failed order is repeated on the same engine.
-RETRY_AFTER = 60.0
+ORDER_RETRY_SECONDS = 60.0
 # A roll-out is halted if the new version's attainment is lower than the old
 # one's by more than this, with at least the given number of requests for each
 # version.
@@ -65,7 +65,7 @@
     return Order(OrderKind(kind), *rest)
 
 
-class Awaited(msgspec.Struct):
+class PendingOrder(msgspec.Struct):
     """An order that was given and does not yet show in a report.
 
     ``epoch`` is the engine's epoch when the order was given, -1 if unknown: an
@@ -81,7 +81,7 @@
     attempts: int = 1
 
 
-class Wanted(msgspec.Struct):
+class DeclaredPlacement(msgspec.Struct):
     """One placement as it applies to this failure domain.
 
     ``servers`` names the engines that may hold copies. ``protected`` is true
@@ -108,7 +108,7 @@
         return self.met / self.requests if self.requests else 1.0
 
 
-class View(msgspec.Struct):
+class PlanInputs(msgspec.Struct):
     """The state that a plan is based on.
 
     ``announcements`` maps names of serving engines to their announcements and
--- a/tests/cover/test_model_orders.py
+++ b/tests/cover/test_model_orders.py
@@ -28,12 +28,12 @@
 
 def make_wanted(version="1", minimum=1, maximum=2, **fields):
     spec = specs.ModelPlacementSpec("small", version, [], "", minimum, maximum)
-    return model_orders.Wanted("small", spec, list(NAMES), **fields)
+    return model_orders.DeclaredPlacement("small", spec, list(NAMES), **fields)
 
 
 def view_of(*engines, **fields):
     announcements_by_name = {item.backend_server: item for item in engines}
-    return model_orders.View(
+    return model_orders.PlanInputs(
         announcements_by_name, fields.get("awaited", {}), {}, {}
     )
 
@@ -62,7 +62,7 @@
     order = model_orders.Order(
         model_orders.OrderKind.UNLOAD, "e1", "small", "1"
     )
-    awaited = {order.key: model_orders.Awaited(order, "other", 0.0, 1)}
+    awaited = {order.key: model_orders.PendingOrder(order, "other", 0.0, 1)}
     item = make_wanted(minimum=0, maximum=1)
     item.spec.maximum_copies = 0
     view = view_of(*engines, awaited=awaited)
@@ -141,7 +141,9 @@
             ]
             reported[name] = announcement
         reported.update((name, announce(name)) for name in OTHER_ENGINES)
-        return model_orders.View(reported, self.awaited, self.refused, {})
+        return model_orders.PlanInputs(
+            reported, self.awaited, self.refused, {}
+        )
 
     @stateful.rule(
         index=st.integers(0, 1),
@@ -160,7 +162,7 @@
         self.settle()
         plan = model_orders.plan(self.items, self.view(), self.now)
         for placement, order in plan.orders:
-            self.awaited[order.key] = model_orders.Awaited(
+            self.awaited[order.key] = model_orders.PendingOrder(
                 order, placement, self.now, 1
             )
             if not lost:
