--- a/packages/dandeliontrail/src/dandeliontrail/components/hedges.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/hedges.py
@@ -40,7 +40,7 @@
         if self._ends.holds(work.fingerprint, not_before):
             return
         work.avoid.add(request.server)
-        work.turned_away.discard(request.server)
+        work.rejected_by.discard(request.server)
         request.seeking_hedge = True
         self._policy.seek(work, not_before)
 
@@ -90,7 +90,7 @@
         The rejecting server is tried again only once no other one is left.
         """
         if not event.gone:
-            request.work.turned_away.add(request.hedge.server)
+            request.work.rejected_by.add(request.hedge.server)
         pause = 0.0
         if event.server_said:
             backoff_factor = 2.0**request.hedges_rejected
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/shared.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/shared.py
@@ -44,7 +44,7 @@
 MAX_QUEUE_TIME_FRACTION = 0.7
 # Bounds the log lines about servers between two ticks, as in a burst of
 # failures.
-MAX_BELIEFS_PER_TICK = 50
+MAX_FINDINGS_PER_TICK = 50
 
 
 class Attempt(msgspec.Struct):
@@ -82,7 +82,7 @@
         self._prefixes = prefix_announcements.PrefixAnnouncements(self._table)
         # The revision that the traits were read from, and those by service.
         self._traits_cache = (None, {})
-        self._beliefs = []
+        self._findings = []
         # The usable servers by service, valid for the current round only.
         self._round_usable = {}
         self._placement_rate = placement_rate.PlacementRate()
@@ -105,18 +105,20 @@
         self._prefixes.receive(reads, now)
 
     def take_beliefs(self):
-        """Return the ``work.Belief`` objects since the last call."""
-        beliefs, self._beliefs = self._beliefs, []
-        return beliefs
+        """Return the ``work.HealthFinding`` objects since the last call."""
+        findings, self._findings = self._findings, []
+        return findings
 
-    def _add_server_belief(self, text, server, health, now):
+    def _add_server_finding(self, text, server, health, now):
         seconds = max(0.0, health.blocked_until - now)
         share = round(health.failure_share, 3)
-        self._add_belief(work_module.Belief(text, server, share, seconds))
+        self._add_finding(
+            work_module.HealthFinding(text, server, share, seconds)
+        )
 
-    def _add_belief(self, belief):
-        if len(self._beliefs) < MAX_BELIEFS_PER_TICK:
-            self._beliefs.append(belief)
+    def _add_finding(self, finding):
+        if len(self._findings) < MAX_FINDINGS_PER_TICK:
+            self._findings.append(finding)
 
     # -- admission ----------------------------------------------------------
 
@@ -266,7 +268,7 @@
         if wait <= left * MAX_QUEUE_TIME_FRACTION:
             return None
         nothing = sentinels.Nothing(sentinels.Reason.QUEUE_FULL, wait / 2)
-        grounds = work_module.Grounds(
+        grounds = work_module.DecisionInputs(
             need=work.prompt_tokens, waiting=len(self._queue) - 1
         )
         return work_module.Refusal(work, nothing, grounds)
@@ -378,7 +380,7 @@
         """
         state = self._table.server(name)
         running, unread = self._table.remote_load(name)
-        grounds = work_module.Grounds(
+        grounds = work_module.DecisionInputs(
             int(need),
             int(state.unread),
             unread,
@@ -407,7 +409,7 @@
 
     def _refusal(self, work, reason, servers):
         nothing = sentinels.Nothing(reason, NO_SERVER_RETRY_SECONDS)
-        grounds = work_module.Grounds(
+        grounds = work_module.DecisionInputs(
             usable=len(servers), waiting=len(self._queue) - 1
         )
         return work_module.Refusal(work, nothing, grounds)
@@ -433,7 +435,7 @@
         health = state.health
         if ended.gone:
             health.record_replaced()
-            self._add_server_belief(
+            self._add_server_finding(
                 "backend server replaced", attempt.server, health, now
             )
         elif ended.unreachable:
@@ -452,21 +454,21 @@
         self._domain_reach.record_reached(attempt.domain)
         if health.backoff:
             health.record_reached()
-            self._add_server_belief(
+            self._add_server_finding(
                 "backend server usable again", attempt.server, health, now
             )
 
     def _record_unreachable(self, attempt, now):
         health = attempt.server_state.health
         health.record_unreachable(now)
-        self._add_server_belief(
+        self._add_server_finding(
             "backend server avoided", attempt.server, health, now
         )
         if self._domain_reach.record_unreachable(
             attempt.domain, attempt.server, attempt.placed_at, now
         ):
-            self._add_belief(
-                work_module.Belief(
+            self._add_finding(
+                work_module.HealthFinding(
                     "failure domain avoided",
                     attempt.server,
                     round(health.failure_share, 3),
@@ -481,7 +483,7 @@
         name = announcement.backend_server
         if self._table.record_announcement(name, announcement.epoch):
             health = self._table.server(name).health
-            self._add_server_belief(
+            self._add_server_finding(
                 "backend server restarted", name, health, now
             )
 
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/work.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/work.py
@@ -10,7 +10,7 @@
     lower for more important work.
 
     ``avoid`` names the servers on which an attempt has failed already;
-    ``turned_away`` names those of them that rejected the request without
+    ``rejected_by`` names those of them that rejected the request without
     starting it while it was also outstanding at a silent server.
 
     ``predicted_tokens`` is the expected output length, 0 if unknown. ``parts``
@@ -58,18 +58,18 @@
     route_priority: int = 0
     fingerprint: str = ""
     avoid: set = msgspec.field(default_factory=set)
-    turned_away: set = msgspec.field(default_factory=set)
+    rejected_by: set = msgspec.field(default_factory=set)
 
     def ask_again(self):
         """Make the servers that rejected the work eligible again.
 
         They may have room by now.
         """
-        self.avoid -= self.turned_away
-        self.turned_away.clear()
+        self.avoid -= self.rejected_by
+        self.rejected_by.clear()
 
 
-class Grounds(msgspec.Struct):
+class DecisionInputs(msgspec.Struct):
     """The inputs of a decision, kept to explain it later.
 
     ``need`` is how many prompt tokens the server would have to compute;
@@ -98,7 +98,7 @@
 
     work: Work
     server: str
-    grounds: Grounds | None = None
+    grounds: DecisionInputs | None = None
     hedge: bool = False
 
 
@@ -107,10 +107,10 @@
 
     work: Work
     nothing: object
-    grounds: Grounds | None = None
+    grounds: DecisionInputs | None = None
 
 
-class Belief(msgspec.Struct):
+class HealthFinding(msgspec.Struct):
     """A conclusion about a server's health, for the log.
 
     ``failure_share`` is the share of its recent answers that failed and
