--- a/packages/dandeliontrail/src/dandeliontrail/components/cluster_view.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/cluster_view.py
@@ -24,11 +24,13 @@
         """Return whether a failure domain has just become silent."""
         return self._state.members.has_fallen_silent(failure_domain, now)
 
-    def elsewhere(self, organisation, class_name):
+    def usage_elsewhere(self, organisation, class_name):
         """Return the usage that the ledger holds for other instances."""
         used = self._state.usage.used_elsewhere(organisation, class_name)
-        return view.Used(used.requests, used.prompt_tokens, used.output_tokens)
+        return view.Usage(
+            used.requests, used.prompt_tokens, used.output_tokens
+        )
 
-    def today(self, organisation):
+    def tokens_today(self, organisation):
         """Return the tokens that the ledger holds for the current UTC day."""
         return self._state.usage.used_today(organisation).tokens()
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/class_queues.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/class_queues.py
@@ -49,7 +49,7 @@
         work waiting at one instance.
         """
         for name in self.pending.organisations():
-            used = view.elsewhere(name, self.class_name)
+            used = view.usage_elsewhere(name, self.class_name)
             total = used.prompt * fairness.PROMPT_TOKEN_WEIGHT + used.output
             self.counters.merge(name, self.weights.get(name, 1.0), total)
 
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/limits.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/limits.py
@@ -169,7 +169,9 @@
         self._refreshed_at = now
         self._instances = self._view.instances(now)
         for scope in self._scopes.values():
-            used = self._view.elsewhere(scope.organisation, scope.class_name)
+            used = self._view.usage_elsewhere(
+                scope.organisation, scope.class_name
+            )
             limits = scope.limits
             if scope.requests is not None:
                 scope.requests.refresh(
@@ -190,7 +192,7 @@
         daily_quota = _daily_quota(work)
         if daily_quota is None:
             return False
-        used = self._view.today(work.organisation)
+        used = self._view.tokens_today(work.organisation)
         return (
             used + self._outstanding_tokens.get(work.organisation, 0.0)
             >= daily_quota
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/view.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/view.py
@@ -9,7 +9,7 @@
 import msgspec
 
 
-class Used(msgspec.Struct):
+class Usage(msgspec.Struct):
     """Requests and tokens so far."""
 
     requests: int = 0
@@ -35,14 +35,14 @@
         """Tell whether a domain's instances have just fallen silent."""
         return False
 
-    def elsewhere(self, organisation, class_name):
+    def usage_elsewhere(self, organisation, class_name):
         """Return the usage counted by the other instances so far.
 
         An empty ``class_name`` gives the usage over all classes.
         """
-        return Used()
+        return Usage()
 
-    def today(self, organisation):
+    def tokens_today(self, organisation):
         """Return the tokens counted by all instances on this day."""
         return 0
 
--- a/tests/cover/test_policy_limits.py
+++ b/tests/cover/test_policy_limits.py
@@ -28,15 +28,15 @@
     def instances(self, now):
         return len(self.ledger) - len(self.cut_off)
 
-    def elsewhere(self, organisation, class_name):
+    def usage_elsewhere(self, organisation, class_name):
         requests = sum(
             history[-1 - LAG_SECONDS] if len(history) > LAG_SECONDS else 0
             for name, history in self.ledger.items()
             if name != self.name and name not in self.cut_off
         )
-        return view.Used(requests=requests)
+        return view.Usage(requests=requests)
 
-    def today(self, organisation):
+    def tokens_today(self, organisation):
         return self.used_today
 
 
