--- a/packages/dandeliontrail/src/dandeliontrail/decisions/engines.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/engines.py
@@ -167,10 +167,10 @@
         even = self.limit / instances
         if self.quota is None:
             self.quota = even
-        part = quota.part(self.own, self.total(), instances)
-        room = (self.limit - self.reserve - self.total()) * part
+        share = quota.capacity_share(self.own, self.total(), instances)
+        room = (self.limit - self.reserve - self.total()) * share
         using = self.own >= self.allowed
-        self.quota = quota.moved(self.quota, even, room, using)
+        self.quota = quota.adjusted_quota(self.quota, even, room, using)
         self.quota = min(self.limit, self.quota)
         self.allowed = int(self.quota + draw)
         # With fewer slots than there are instances, an even share is below
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/limits.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/limits.py
@@ -96,10 +96,12 @@
         self._own_usage = 0.0
         self.limit = limit
         total_rate = self._own_rate + self._other_rate
-        part = quota.part(self._own_rate, total_rate, instances)
-        missing = (limit - total_rate) * part
+        share = quota.capacity_share(self._own_rate, total_rate, instances)
+        missing = (limit - total_rate) * share
         using = self._own_rate > 0.8 * self.rate
-        adjusted = quota.moved(self.rate, limit / instances, missing, using)
+        adjusted = quota.adjusted_quota(
+            self.rate, limit / instances, missing, using
+        )
         self.rate = min(limit, adjusted)
 
 
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/quota.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/quota.py
@@ -15,21 +15,21 @@
 DECAY_TO_EVEN = 0.05
 
 
-def part(own, total, instances):
-    """Return the part of the free capacity that this instance may take.
+def capacity_share(own, total, instances):
+    """Return the share of the free capacity that this instance may take.
 
-    It is the instance's part of the present usage, and at least an even part,
+    It is the instance's share of the present usage, and at least an even one,
     so that one instance that gets all the demand may use nearly all of the
-    capacity. Over all instances the parts add up to at most two.
+    capacity. Over all instances the shares add up to at most two.
     """
     even = 1.0 / instances
     return max(even, own / total) if total > 0 else even
 
 
-def moved(quota, even, missing, using):
+def adjusted_quota(quota, even, missing, using):
     """Return the next quota.
 
-    ``missing`` is this instance's part of the free capacity, negative if the
+    ``missing`` is this instance's share of the free capacity, negative if the
     resource is overcommitted. ``using`` tells whether the instance uses its
     quota; a quota that is not used does not grow, since without demand it
     would grow without limit.
