--- a/packages/dandeliontrail/src/dandeliontrail/components/hedges.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/hedges.py
@@ -37,7 +37,7 @@
         limit = work.max_attempts or MAX_ATTEMPTS
         if not work.repeatable or request.begun >= limit:
             return
-        if self._ends.holds(work.fingerprint, not_before):
+        if self._ends.is_blocked(work.fingerprint, not_before):
             return
         work.avoid.add(request.server)
         work.rejected_by.discard(request.server)
@@ -109,7 +109,7 @@
 
     def failed(self, request, event, now):
         """Handle a failed hedge, and look for another server."""
-        self._ends.ended_under(request.hedge, event, now)
+        self._ends.record_failed_attempt(request.hedge, event, now)
         self._seek_next(request, now)
 
     def _stop_seeking(self, request):
--- a/packages/dandeliontrail/src/dandeliontrail/components/requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/requests.py
@@ -174,7 +174,7 @@
         ]
 
     def _enqueue(self, request, now):
-        if self._ends.holds(request.work.fingerprint, now):
+        if self._ends.is_blocked(request.work.fingerprint, now):
             return self._endings.refuse(request, ENDS_SERVERS, now)
         offered = self._policy.offer(request.work, now)
         if not offered:
@@ -207,7 +207,7 @@
         A request is blocked when several servers crashed while running it.
         One that waits at a server is withdrawn before it starts there.
         """
-        fingerprints = set(self._ends.take_newly_held())
+        fingerprints = set(self._ends.take_newly_blocked())
         if not fingerprints:
             return []
         out = []
@@ -326,7 +326,7 @@
         retry budget of the policy.
         """
         request.work.avoid.add(request.server)
-        if self._ends.holds(request.work.fingerprint, now):
+        if self._ends.is_blocked(request.work.fingerprint, now):
             return self._refuse(request, ENDS_SERVERS, now)
         if request.dispatches >= hedges.MAX_ATTEMPTS:
             nothing = sentinels.Nothing(sentinels.Reason.NO_SERVER, 1.0)
@@ -355,7 +355,7 @@
         """
         work = request.work
         work.avoid.add(request.server)
-        if self._ends.holds(work.fingerprint, now):
+        if self._ends.is_blocked(work.fingerprint, now):
             return self._refuse(request, ENDS_SERVERS, now)
         rejected = request.servers_reached - request.begun
         if request.begun >= work.max_attempts or rejected >= MAX_REJECTIONS:
@@ -415,7 +415,7 @@
         request.transition_to(request_lifecycle.Phase.COMPLETE)
         work = request.work
         del self.lives[work.request_id]
-        self._ends.served(work.fingerprint, now)
+        self._ends.record_served(work.fingerprint, now)
         ended = work_module.Ended(
             work.request_id,
             request.server,
@@ -453,7 +453,7 @@
         if request is None:
             return []
         self._start_counter.attempt_failed(request)
-        self._ends.ended_under(request, event, now)
+        self._ends.record_failed_attempt(request, event, now)
         self._endings.report_attempt_end(request, now, failed=True)
         # Only wasted tokens: the request itself is counted once its answer is
         # complete.
--- a/packages/dandeliontrail/src/dandeliontrail/components/server_ends.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/server_ends.py
@@ -1,4 +1,4 @@
-"""The component that withholds requests which crash their servers.
+"""The component that blocks requests which crash their servers.
 
 A request is identified by a fingerprint.  Which server ended while it ran
 which request is reported at once on all links and forwarded by relays.
@@ -17,10 +17,10 @@
 
 # How many fingerprints of recently served requests are kept.  They clear a
 # request that many callers send alike as soon as it is suspected, before it
-# is held back for long.
+# is blocked for long.
 MAX_SERVED_FINGERPRINTS = 4096
-# A suspect with fewer ends is not reported as served: a single end holds no
-# request back, and nearly all requests that ran on the ended server are then
+# A suspect with fewer ends is not reported as served: a single end blocks no
+# request, and nearly all requests that ran on the ended server are then
 # served by the next one.
 MIN_ENDS_TO_CLEAR = 2
 FORGET_INTERVAL_SECONDS = 1.0
@@ -44,15 +44,15 @@
 
 
 class ServerEnds(interfaces.Component):
-    """Maintains the table of server ends and decides what is held back."""
+    """Maintains the table of server ends and decides what is blocked."""
 
     def __init__(self, state):
         self._state = state
         self._table = state.ends
         self._recently_served = collections.OrderedDict()
         self._pending_reports = {}
-        self._held = set()
-        self._newly_held = []
+        self._blocked = set()
+        self._newly_blocked = []
         self._pending_log_effects = []
         self._next_forget = 0.0
 
@@ -72,7 +72,7 @@
         """
         if now >= self._next_forget:
             self._next_forget = now + FORGET_INTERVAL_SECONDS
-            self._held.difference_update(self._table.forget(now))
+            self._blocked.difference_update(self._table.forget(now))
             self._table.settle(now)
         out, self._pending_log_effects = self._pending_log_effects, []
         pending, self._pending_reports = self._pending_reports, {}
@@ -80,20 +80,20 @@
             out.extend(self._send_reports(scope, reports, now))
         return out
 
-    def holds(self, fingerprint, now):
-        """Return whether a request is held back now."""
+    def is_blocked(self, fingerprint, now):
+        """Return whether a request is blocked now."""
         if fingerprint not in self._table.suspects:
             return False
-        return crash_suspects.is_held(
+        return crash_suspects.is_blocked(
             self._table, fingerprint, self._state.registry, now
         )
 
-    def take_newly_held(self):
-        """Return the fingerprints newly held back since the last call."""
-        newly_held, self._newly_held = self._newly_held, []
-        return newly_held
+    def take_newly_blocked(self):
+        """Return the fingerprints newly blocked since the last call."""
+        newly_blocked, self._newly_blocked = self._newly_blocked, []
+        return newly_blocked
 
-    def ended_under(self, attempt, event, now):
+    def record_failed_attempt(self, attempt, event, now):
         """Record that an attempt failed, possibly because its server ended.
 
         ``attempt`` is a ``request_lifecycle.RequestLifecycle``, whose current
@@ -107,7 +107,7 @@
                 fingerprint, attempt.incarnation, now, ForwardingScope.ALL, now
             )
 
-    def served(self, fingerprint, now):
+    def record_served(self, fingerprint, now):
         """Record that a server served a request to completion."""
         if not fingerprint:
             return
@@ -135,7 +135,7 @@
                 scope, _PendingReports()
             )
             pending.ends.setdefault(incarnation, {})[fingerprint] = at
-        self._update_held(fingerprint, now)
+        self._update_blocked(fingerprint, now)
 
     def _clear(self, fingerprint, at, scope, now):
         if not self._table.clear(fingerprint, at, now):
@@ -145,7 +145,7 @@
                 scope, _PendingReports()
             )
             pending.served[fingerprint] = at
-        self._update_held(fingerprint, now)
+        self._update_blocked(fingerprint, now)
 
     def _forwarding_scope(self, source):
         """Return the links to forward a peer's reports to, or ``None``."""
@@ -194,25 +194,25 @@
             self._clear_if_served(fingerprint, now)
         return []
 
-    def _update_held(self, fingerprint, now):
-        is_held = self.holds(fingerprint, now)
-        if is_held == (fingerprint in self._held):
+    def _update_blocked(self, fingerprint, now):
+        is_blocked = self.is_blocked(fingerprint, now)
+        if is_blocked == (fingerprint in self._blocked):
             return
-        if is_held:
-            self._held.add(fingerprint)
-            self._newly_held.append(fingerprint)
+        if is_blocked:
+            self._blocked.add(fingerprint)
+            self._newly_blocked.append(fingerprint)
         else:
-            self._held.discard(fingerprint)
+            self._blocked.discard(fingerprint)
         self._pending_log_effects.append(
-            self._log_effect(fingerprint, is_held)
+            self._log_effect(fingerprint, is_blocked)
         )
 
-    def _log_effect(self, fingerprint, is_held):
-        """Return the log effect for a request held back or released."""
+    def _log_effect(self, fingerprint, is_blocked):
+        """Return the log effect for a request blocked or released."""
         suspect = self._table.suspects[fingerprint]
         fields = {
             "fingerprint": fingerprint,
-            "held": is_held,
+            "held": is_blocked,
             "served": suspect.served,
             "ended_servers": sorted(name for name, _ in suspect.ends),
             "important": True,
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/crash_suspects.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/crash_suspects.py
@@ -1,11 +1,11 @@
-"""Decides which requests are held back because servers crash on them.
+"""Decides which requests are blocked because servers crash on them.
 
 A request that crashes each server which begins to run it, and that its caller
 sends again, would end one or two more servers with every resend, along with
 all that runs beside it, until the pool is down.  After three crashes no
 instance gives it a server any more.
 
-Other requests run beside such a one and must not be held back with it:
+Other requests run beside such a one and must not be blocked with it:
 
 - Only a request that the server had hardly begun to answer is a suspect.  A
   server crashes on a request as it begins it, so a stream that has been open
@@ -13,25 +13,25 @@
 - A request that any server has completed is cleared.
 - A server that is heard of later has not crashed: its connection was reset.
 - A crash that is attributed to another request, one with more crashes, does
-  not count, unless there are :data:`CRASHES_TO_HOLD_ANYWAY`: more than an
+  not count, unless there are :data:`CRASHES_TO_BLOCK_ANYWAY`: more than an
   innocent request that is resent once meets.
 """
 
-# A request is held after this many crashes that are not attributed to another
+# A request is blocked after this many crashes that are not attributed to another
 # one.
-CRASHES_TO_HOLD = 3
-# This many crashes hold a request even if other requests are the likelier
+CRASHES_TO_BLOCK = 3
+# This many crashes block a request even if other requests are the likelier
 # cause.  A caller that resends once makes two attempts twice, so an innocent
 # request meets four crashes at most.
-CRASHES_TO_HOLD_ANYWAY = 5
+CRASHES_TO_BLOCK_ANYWAY = 5
 # A request that crashes its server does so this soon after its first output.
 CRASH_WINDOW_SECONDS = 0.5
 # A server that announces itself this long after a connection to it closed has
 # not crashed.  Announcements from before may be delayed for as long.
 ALIVE_MARGIN_SECONDS = 2.0
-# A held request may try again this long after the last crash, once: the next
-# crash holds it back again.
-HOLD_SECONDS = 600.0
+# A blocked request may try again this long after the last crash, once: the next
+# crash blocks it again.
+BLOCK_SECONDS = 600.0
 
 
 def is_suspect(closed, output_at, now):
@@ -43,30 +43,30 @@
     return closed and (not output_at or now - output_at < CRASH_WINDOW_SECONDS)
 
 
-def is_held(table, fingerprint, registry, now):
+def is_blocked(table, fingerprint, registry, now):
     """Return whether a request gets no server at present.
 
     ``table`` is the :class:`..coordination.server_ends.EndsTable`,
     ``registry`` the ``ServerRegistry``.
     """
     record = table.suspects.get(fingerprint)
-    if record is None or len(record.ends) < CRASHES_TO_HOLD:
+    if record is None or len(record.ends) < CRASHES_TO_BLOCK:
         return False
-    if now - record.last > HOLD_SECONDS:
+    if now - record.last > BLOCK_SECONDS:
         return False
     crashed = [
         incarnation
         for incarnation, at in record.ends.items()
         if not _is_alive(registry, incarnation, at, now)
     ]
-    if len(crashed) >= CRASHES_TO_HOLD_ANYWAY:
+    if len(crashed) >= CRASHES_TO_BLOCK_ANYWAY:
         return True
     attributed = [
         incarnation
         for incarnation in crashed
         if not _has_likelier_cause(table, fingerprint, incarnation)
     ]
-    return len(attributed) >= CRASHES_TO_HOLD
+    return len(attributed) >= CRASHES_TO_BLOCK
 
 
 def _is_alive(registry, incarnation, at, now):
@@ -86,6 +86,6 @@
     own_crashes = len(table.suspects[fingerprint].ends)
     for other in table.under(incarnation):
         crashes = len(table.suspects[other].ends)
-        if crashes > own_crashes and crashes >= CRASHES_TO_HOLD:
+        if crashes > own_crashes and crashes >= CRASHES_TO_BLOCK:
             return True
     return False
--- a/tests/common/crash_news.py
+++ b/tests/common/crash_news.py
@@ -38,11 +38,13 @@
             output_at=0.0,
         )
         event = events.AttemptFailed("r", 1, 0, "", closed=True)
-        self.component_of(node).ended_under(request, event, self.net.now)
+        self.component_of(node).record_failed_attempt(
+            request, event, self.net.now
+        )
 
     def served(self, node, fingerprint):
         """Let a server complete a request of ``node``."""
-        self.component_of(node).served(fingerprint, self.net.now)
+        self.component_of(node).record_served(fingerprint, self.net.now)
 
     def blocking_instances(self, fingerprint):
         """Return the names of the instances that block a request."""
@@ -50,5 +52,5 @@
             node.name
             for node in self.net.nodes.values()
             if node.up
-            and self.component_of(node).holds(fingerprint, self.net.now)
+            and self.component_of(node).is_blocked(fingerprint, self.net.now)
         }
--- a/tests/cover/test_crash_suspects.py
+++ b/tests/cover/test_crash_suspects.py
@@ -1,4 +1,4 @@
-"""Which requests are held back because servers crash on them."""
+"""Which requests are blocked because servers crash on them."""
 
 import random
 
@@ -23,9 +23,9 @@
     return table
 
 
-def is_held(table, fingerprint, registry=None, now=NOW):
+def is_blocked(table, fingerprint, registry=None, now=NOW):
     registry = registry or servers.ServerRegistry()
-    return crash_suspects.is_held(table, fingerprint, registry, now)
+    return crash_suspects.is_blocked(table, fingerprint, registry, now)
 
 
 def announce(registry, name, now, epoch=0):
@@ -35,32 +35,32 @@
     registry.learn(announcement, 0.0, now)
 
 
-def test_is_held_after_three_crashes():
-    assert not is_held(table_of({"p": "ab"}), "p")
-    assert is_held(table_of({"p": "abc"}), "p")
+def test_is_blocked_after_three_crashes():
+    assert not is_blocked(table_of({"p": "ab"}), "p")
+    assert is_blocked(table_of({"p": "abc"}), "p")
 
 
-def test_request_beside_one_with_more_crashes_is_not_held():
+def test_request_beside_one_with_more_crashes_is_not_blocked():
     table = table_of({"p": "abcdef", "beside": "abc"})
-    assert is_held(table, "p")
-    assert not is_held(table, "beside")
+    assert is_blocked(table, "p")
+    assert not is_blocked(table, "beside")
 
 
 def test_crashes_without_a_likelier_cause_count():
     table = table_of({"p": "abcdef", "other": "abxyz"})
-    assert is_held(table, "other")
+    assert is_blocked(table, "other")
 
 
-def test_requests_that_always_run_together_are_both_held():
+def test_requests_that_always_run_together_are_both_blocked():
     table = table_of({"p": "abcde", "worse": "abcdef"})
-    assert is_held(table, "worse")
-    assert is_held(table, "p")
+    assert is_blocked(table, "worse")
+    assert is_blocked(table, "p")
 
 
-def test_completed_request_is_never_held_again():
+def test_completed_request_is_never_blocked_again():
     table = table_of({"p": "abc"})
     assert table.clear("p", NOW, NOW)
-    assert not is_held(table, "p")
+    assert not is_blocked(table, "p")
     assert not table.note("p", ("d", 0), NOW, NOW)
 
 
@@ -70,23 +70,23 @@
     registry = servers.ServerRegistry()
     table = table_of({"p": "abc"})
     announce(registry, "a", NOW + 1.0)
-    assert is_held(table, "p", registry, NOW + 1.0)
+    assert is_blocked(table, "p", registry, NOW + 1.0)
     announce(registry, "a", NOW + 2.5)
-    assert not is_held(table, "p", registry, NOW + 2.5)
+    assert not is_blocked(table, "p", registry, NOW + 2.5)
 
 
 def test_a_server_that_restarted_under_its_name_has_crashed():
     registry = servers.ServerRegistry()
     announce(registry, "a", NOW + 2.5, epoch=7)
-    assert is_held(table_of({"p": "abc"}), "p", registry, NOW + 2.5)
+    assert is_blocked(table_of({"p": "abc"}), "p", registry, NOW + 2.5)
 
 
-def test_held_request_is_tried_once_more_after_a_while():
+def test_blocked_request_is_tried_once_more_after_a_while():
     table = table_of({"p": "abc"})
-    later = NOW + crash_suspects.HOLD_SECONDS + 1.0
-    assert not is_held(table, "p", now=later)
+    later = NOW + crash_suspects.BLOCK_SECONDS + 1.0
+    assert not is_blocked(table, "p", now=later)
     table.note("p", ("d", 0), later, later)
-    assert is_held(table, "p", now=later)
+    assert is_blocked(table, "p", now=later)
 
 
 @pytest.mark.parametrize(
@@ -133,7 +133,7 @@
         table.settle(NOW + server_ends.SETTLE_SECONDS)
     assert len({table.digest.root for table in tables}) == 1
     for fingerprint in "pqr":
-        assert len({is_held(table, fingerprint) for table in tables}) == 1
+        assert len({is_blocked(table, fingerprint) for table in tables}) == 1
 
 
 def _send_records(sender, receiver):
--- a/tests/cover/test_hedge_life.py
+++ b/tests/cover/test_hedge_life.py
@@ -66,7 +66,7 @@
                 work=self.life.work, incarnation=(name, 0), output_at=0.0
             )
             failed = events.AttemptFailed("q", 1, 0, "", closed=True)
-            ends.ended_under(attempt, failed, self.now)
+            ends.record_failed_attempt(attempt, failed, self.now)
 
 
 def test_a_hedge_is_withdrawn_when_its_request_is_blocked():
