--- a/packages/dandeliontrail/src/dandeliontrail/components/claim_rounds.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/claim_rounds.py
@@ -13,7 +13,7 @@
         """The claim was granted: only this request may run its key."""
 
     @abc.abstractmethod
-    def claim_unneeded(self, request_id, now):
+    def claim_unavailable(self, request_id, now):
         """No claim can be obtained, but the request is repeatable."""
 
     @abc.abstractmethod
@@ -21,11 +21,11 @@
         """Another request with the key completed with ``answer``."""
 
     @abc.abstractmethod
-    def claim_refused(self, request_id, nothing, ran, now):
-        """No answer is available; ``ran`` tells if the key may have run."""
+    def claim_refused(self, request_id, nothing, may_have_run, now):
+        """No answer is available; ``may_have_run`` tells if its key ran."""
 
 
-class Wanted(msgspec.Struct):
+class ClaimRequest(msgspec.Struct):
     """A request that wants to claim its idempotency key.
 
     ``digest`` identifies the request body; ``deadline`` is that of the
@@ -48,7 +48,7 @@
     next message is due and ``heard`` when the holder last replied.
     """
 
-    wanted: Wanted
+    wanted: ClaimRequest
     tries: int = 0
     claim: str = ""
     following: bool = False
--- a/packages/dandeliontrail/src/dandeliontrail/components/claims.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/claims.py
@@ -128,11 +128,11 @@
         if isinstance(message, claims.ClaimRelease):
             self._voting.release(message, now)
             return []
-        source = self._self()
+        source = self._own_sender()
         vote = self._voting.vote(source, message, now)
         return self._vote_received(source, vote, now)
 
-    def _self(self):
+    def _own_sender(self):
         identity = self._state.identity
         return messages.Sender(
             identity.instance,
@@ -215,7 +215,7 @@
         request_id = round_.wanted.request_id
         self._forget_round(round_)
         if round_.wanted.repeatable:
-            return self.listener.claim_unneeded(request_id, now)
+            return self.listener.claim_unavailable(request_id, now)
         nothing = sentinels.Nothing(
             sentinels.Reason.NO_QUORUM, RETRY_AFTER_SECONDS
         )
@@ -267,7 +267,7 @@
         round_.next_send = now + HOLDER_POLL_SECONDS
         ask = claims.AnswerAsk(round_.claim, round_.wanted.request_id)
         if round_.holder == self._state.identity.instance:
-            return self._answer_requested(self._self(), ask, now)
+            return self._answer_requested(self._own_sender(), ask, now)
         if not round_.holder_address:
             return []
         return [effects.SendPeer(round_.holder_address, ask)]
@@ -282,7 +282,7 @@
         request_id = round_.wanted.request_id
         self._forget_round(round_)
         if round_.wanted.repeatable:
-            return self.listener.claim_unneeded(request_id, now)
+            return self.listener.claim_unavailable(request_id, now)
         nothing = sentinels.Nothing(sentinels.Reason.HOLDER_LOST)
         return self.listener.claim_refused(request_id, nothing, True, now)
 
@@ -320,9 +320,12 @@
 
     def _refuse(self, round_, reason, now):
         self._forget_round(round_)
-        ran = reason is not sentinels.Reason.KEY_REUSED
+        may_have_run = reason is not sentinels.Reason.KEY_REUSED
         return self.listener.claim_refused(
-            round_.wanted.request_id, sentinels.Nothing(reason), ran, now
+            round_.wanted.request_id,
+            sentinels.Nothing(reason),
+            may_have_run,
+            now,
         )
 
     # Ends of requests, and the readers that wait for them.
@@ -355,7 +358,9 @@
             if address:
                 out.append(effects.SendPeer(address, reply))
             else:
-                out.extend(self._answer_received(self._self(), reply, now))
+                out.extend(
+                    self._answer_received(self._own_sender(), reply, now)
+                )
         return out
 
     def _answer_message(self, claim, reader):
--- a/packages/dandeliontrail/src/dandeliontrail/components/requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/requests.py
@@ -107,7 +107,7 @@
         if not event.idempotency_key:
             return self._enqueue(request, now)
         request.transition_to(request_lifecycle.Phase.CLAIMING)
-        wanted = claim_rounds.Wanted(
+        wanted = claim_rounds.ClaimRequest(
             work.request_id,
             claims_module.key_of(work.organisation, event.idempotency_key),
             event.body_digest[: claims_module.NAME_LENGTH],
@@ -147,7 +147,7 @@
         request.holds_key = True
         return self._enqueue(request, now)
 
-    def claim_unneeded(self, request_id, now):
+    def claim_unavailable(self, request_id, now):
         """Queue a repeatable request although its key cannot be claimed."""
         return self._enqueue(self.lives[request_id], now)
 
@@ -160,16 +160,16 @@
             answers.decision(request.work, "replayed", answer.backend_server),
         ]
 
-    def claim_refused(self, request_id, nothing, ran, now):
+    def claim_refused(self, request_id, nothing, may_have_run, now):
         """Refuse a request that was not granted its key."""
         request = self.lives.pop(request_id)
         request.transition_to(
             request_lifecycle.Phase.UNKNOWN
-            if ran
+            if may_have_run
             else request_lifecycle.Phase.NOT_RUN
         )
         return [
-            answers.refusal(request_id, nothing, begun=ran),
+            answers.refusal(request_id, nothing, begun=may_have_run),
             answers.decision(request.work, nothing.reason.value, ""),
         ]
 
--- a/tests/common/claim_world.py
+++ b/tests/common/claim_world.py
@@ -25,15 +25,15 @@
         self.granted.append(request_id)
         return []
 
-    def claim_unneeded(self, request_id, now):
+    def claim_unavailable(self, request_id, now):
         return []
 
     def claim_answered(self, request_id, answer, now):
         self.answered[request_id] = answer
         return []
 
-    def claim_refused(self, request_id, nothing, ran, now):
-        self.refused[request_id] = (nothing.reason, ran)
+    def claim_refused(self, request_id, nothing, may_have_run, now):
+        self.refused[request_id] = (nothing.reason, may_have_run)
         return []
 
 
@@ -84,8 +84,8 @@
         for other in self.peers.values():
             if other is peer:
                 continue
-            other.state.members.hear(peer.claims._self(), self.now)
-            peer.state.members.hear(other.claims._self(), self.now)
+            other.state.members.hear(peer.claims._own_sender(), self.now)
+            peer.state.members.hear(other.claims._own_sender(), self.now)
 
     def crash(self, name):
         """Restart ``name`` with its log on disk, but without its memory."""
@@ -100,7 +100,7 @@
         self.request_count += 1
         request_id = f"q{self.request_count}"
         self.key_of_request[request_id] = key
-        wanted = claim_rounds.Wanted(
+        wanted = claim_rounds.ClaimRequest(
             request_id, key, digest, False, self.now + 600.0
         )
         self.apply_effects(
@@ -149,7 +149,7 @@
             self.messages.pop(index)
         if (source, target) in self.blocked_paths:
             return
-        sender = self.peers[source].claims._self()
+        sender = self.peers[source].claims._own_sender()
         peer = self.peers[target]
         handlers = peer.voting.handlers() | peer.claims.handlers()
         handler = handlers[type(message)]
