--- a/packages/dandeliontrail/src/dandeliontrail/components/claims.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/claims.py
@@ -13,7 +13,7 @@
 from ..coordination import claims
 from ..coordination import messages
 
-Stand = claim_entries.Stand
+ClaimState = claim_entries.ClaimState
 
 # How often a claim is sent to its voters again until it is decided.
 VOTE_RESEND_SECONDS = 0.3
@@ -87,7 +87,7 @@
         """Claim the key, or follow the local request that holds it."""
         wanted = round_.wanted
         entry = self.entries.of_key(wanted.key)
-        if entry and entry.stand is not Stand.NOT_RUN:
+        if entry and entry.stand is not ClaimState.NOT_RUN:
             identity = self._state.identity
             self._follow(
                 round_, entry.claim, identity.instance, "", entry.digest
@@ -157,7 +157,7 @@
     def _stale_vote(self, source, message, now):
         """Release the vote of a voter that granted an abandoned claim."""
         entry = self.entries.of_claim(message.claim)
-        abandoned = entry is not None and entry.stand is Stand.NOT_RUN
+        abandoned = entry is not None and entry.stand is ClaimState.NOT_RUN
         if not abandoned or message.holder != message.claim:
             return []
         release = claims.ClaimRelease(message.key, message.claim)
@@ -178,7 +178,7 @@
         request_id = round_.wanted.request_id
         self._forget_round(round_)
         self._granted_claims[request_id] = round_.claim
-        self.entries.of_claim(round_.claim).stand = Stand.RUNNING
+        self.entries.of_claim(round_.claim).stand = ClaimState.RUNNING
         return self.listener.claim_granted(request_id, now)
 
     def _follow_winner(self, round_, now):
@@ -206,7 +206,7 @@
     def _abandon_claim(self, round_, now):
         self._voting_rounds.pop(round_.claim, None)
         entry = self.entries.of_claim(round_.claim)
-        readers = self.entries.end(entry, Stand.NOT_RUN, None, now)
+        readers = self.entries.end(entry, ClaimState.NOT_RUN, None, now)
         release = claims.ClaimRelease(entry.key, entry.claim)
         out = self._send_to_voters(entry.key, release, now)
         return out + self._notify_readers(entry, readers, now)
@@ -293,28 +293,28 @@
         if not round_.following:
             return []
         round_.heard = now
-        stand = Stand(message.stand)
-        if stand is Stand.NOT_RUN:
+        stand = ClaimState(message.stand)
+        if stand is ClaimState.NOT_RUN:
             round_.following = False
             round_.claim = ""
             pause = MAX_CONTENTION_BACKOFF_SECONDS * self._state.rng.random()
             round_.next_send = now + pause
             return []
-        if stand is Stand.CLAIMING:
+        if stand is ClaimState.CLAIMING:
             return []
         if round_.holder_digest != round_.wanted.digest:
             return self._refuse(round_, sentinels.Reason.KEY_REUSED, now)
-        if stand is Stand.RUNNING:
+        if stand is ClaimState.RUNNING:
             return []
         return self._end_following(round_, stand, message.answer, now)
 
     def _end_following(self, round_, stand, answer, now):
-        if stand is Stand.HELD:
+        if stand is ClaimState.HELD:
             self._forget_round(round_)
             return self.listener.claim_answered(
                 round_.wanted.request_id, answer, now
             )
-        if stand is Stand.GONE:
+        if stand is ClaimState.GONE:
             return self._refuse(round_, sentinels.Reason.ANSWER_GONE, now)
         return self._end_without_holder(round_, now)
 
@@ -335,7 +335,7 @@
         entry = self.entries.of_claim(self._granted_claims.pop(request_id))
         readers = self.entries.end(entry, stand, answer, now)
         out = []
-        if stand is Stand.NOT_RUN:
+        if stand is ClaimState.NOT_RUN:
             release = claims.ClaimRelease(entry.key, entry.claim)
             out = self._send_to_voters(entry.key, release, now)
         return out + self._notify_readers(entry, readers, now)
@@ -366,7 +366,7 @@
     def _answer_message(self, claim, reader):
         entry = self.entries.of_claim(claim)
         if entry is None:
-            return claims.AnswerTold(claim, reader, Stand.LOST.value)
+            return claims.AnswerTold(claim, reader, ClaimState.LOST.value)
         return claims.AnswerTold(
             claim, reader, entry.stand.value, entry.answer
         )
@@ -382,7 +382,7 @@
             out = self._answer_received(source, reply, now)
         else:
             out = [effects.SendPeer(source.address, reply)]
-        if entry and entry.stand is Stand.NOT_RUN:
+        if entry and entry.stand is ClaimState.NOT_RUN:
             # The release may not have reached the voters, and the reader
             # depends on their votes.
             release = claims.ClaimRelease(entry.key, entry.claim)
--- a/packages/dandeliontrail/src/dandeliontrail/components/endings.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/endings.py
@@ -6,7 +6,7 @@
 from ..decisions import work as work_module
 from . import request_lifecycle
 
-Stand = claim_entries.Stand
+ClaimState = claim_entries.ClaimState
 
 
 class Endings:
@@ -53,14 +53,14 @@
         if not request.holds_key:
             return []
         if request.phase is request_lifecycle.Phase.COMPLETE:
-            stand = Stand.HELD
+            stand = ClaimState.HELD
         elif (
             request.phase is request_lifecycle.Phase.UNKNOWN
             and not request.work.repeatable
         ):
-            stand = Stand.UNKNOWN
+            stand = ClaimState.UNKNOWN
         else:
-            stand = Stand.NOT_RUN
+            stand = ClaimState.NOT_RUN
         return self._claims.ended(request.work.request_id, stand, answer, now)
 
     def stop(self, request, reason, now):
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/claim_entries.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/claim_entries.py
@@ -17,7 +17,7 @@
 MOST_HELD_BYTES = 16 * 1024 * 1024
 
 
-class Stand(enum.Enum):
+class ClaimState(enum.Enum):
     """The state of the request that made a claim.
 
     ``HELD``: its answer is stored; ``GONE``: it ran, but its answer is not
@@ -34,7 +34,7 @@
     LOST = "lost"
 
 
-PENDING = frozenset({Stand.CLAIMING, Stand.RUNNING})
+PENDING = frozenset({ClaimState.CLAIMING, ClaimState.RUNNING})
 
 
 class Entry(msgspec.Struct):
@@ -49,7 +49,7 @@
     claim: str
     digest: str
     expires: float
-    stand: Stand = Stand.CLAIMING
+    stand: ClaimState = ClaimState.CLAIMING
     answer: claims.StoredAnswer | None = None
     readers: set = msgspec.field(default_factory=set)
 
@@ -98,14 +98,14 @@
         entry.stand = stand
         entry.expires = max(entry.expires, now + claims.CLAIM_SECONDS)
         self._by_claim.move_to_end(entry.claim)
-        if stand is Stand.HELD:
+        if stand is ClaimState.HELD:
             self._store_answer(entry, answer)
         readers, entry.readers = entry.readers, set()
         return readers
 
     def _store_answer(self, entry, answer):
         if answer is None or len(answer.body) > MAX_ANSWER_BYTES:
-            entry.stand = Stand.GONE
+            entry.stand = ClaimState.GONE
             return
         entry.answer = answer
         self._entries_with_answer[entry.claim] = entry
@@ -117,7 +117,7 @@
     def _evict_answer(self, entry):
         self._answer_bytes -= len(entry.answer.body)
         entry.answer = None
-        entry.stand = Stand.GONE
+        entry.stand = ClaimState.GONE
 
     def expire(self, now):
         """Remove the entries that are too old to answer retries."""
@@ -144,5 +144,5 @@
         return [
             entry
             for entry in self._by_claim.values()
-            if entry.stand is Stand.RUNNING
+            if entry.stand is ClaimState.RUNNING
         ]
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/claims.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/claims.py
@@ -89,7 +89,7 @@
 
 
 class AnswerTold(msgspec.Struct, tag="answer-told"):
-    """The reply: ``stand`` is a value of ``claim_entries.Stand``."""
+    """The reply: ``stand`` is a value of ``claim_entries.ClaimState``."""
 
     claim: str
     reader: str
--- a/tests/common/claim_machine.py
+++ b/tests/common/claim_machine.py
@@ -66,9 +66,9 @@
         number=NUMBERS,
         stand=st.sampled_from(
             [
-                claim_world.Stand.HELD,
-                claim_world.Stand.NOT_RUN,
-                claim_world.Stand.UNKNOWN,
+                claim_world.ClaimState.HELD,
+                claim_world.ClaimState.NOT_RUN,
+                claim_world.ClaimState.UNKNOWN,
             ]
         ),
     )
--- a/tests/common/claim_world.py
+++ b/tests/common/claim_world.py
@@ -10,7 +10,7 @@
 from dandeliontrail.coordination import claims
 from dandeliontrail import effects
 
-Stand = claim_entries.Stand
+ClaimState = claim_entries.ClaimState
 
 
 class Recorder(claim_rounds.Listener):
@@ -128,12 +128,12 @@
     def end(self, request_id, stand):
         """End a running request with the state ``stand``."""
         name = self.running.pop(request_id)
-        if stand is Stand.NOT_RUN:
+        if stand is ClaimState.NOT_RUN:
             del self.started_by_key[self.key_of_request[request_id]][
                 request_id
             ]
         answer = None
-        if stand is Stand.HELD:
+        if stand is ClaimState.HELD:
             answer = claims.StoredAnswer(
                 200, "", "e1", self.key_of_request[request_id].encode()
             )
--- a/tests/cover/test_claims.py
+++ b/tests/cover/test_claims.py
@@ -8,7 +8,7 @@
 from tests.common import claim_machine
 from tests.common import claim_world
 
-Stand = claim_world.Stand
+ClaimState = claim_world.ClaimState
 
 
 class TestNoKeyRunsTwice(claim_machine.ClaimMachine.TestCase):
@@ -35,7 +35,7 @@
     second = world.request("i0", "order")
     world.settle()
     assert world.running == {first: "v0"}
-    world.end(first, Stand.HELD)
+    world.end(first, ClaimState.HELD)
     world.settle()
     third = world.request("v2", "order")
     world.settle()
@@ -68,7 +68,7 @@
     world = make_world()
     first = world.request("v0", "report")
     world.settle()
-    world.end(first, Stand.HELD)
+    world.end(first, ClaimState.HELD)
     world.crash("v1")
     world.settle(8.0)
     assert world.peers["v1"].voting.ready(world.now)
@@ -107,7 +107,7 @@
     world = make_world()
     first = world.request("v0", "order")
     world.settle()
-    world.end(first, Stand.NOT_RUN)
+    world.end(first, ClaimState.NOT_RUN)
     world.settle()
     second = world.request("i0", "order")
     world.settle()
