--- a/packages/dandeliontrail/src/dandeliontrail/components/claim_voting.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/claim_voting.py
@@ -39,7 +39,7 @@
             return []
         self._next_recovery = now + RECOVERY_RESEND_SECONDS
         out = []
-        for name in table.to_ask(now):
+        for name in table.voters_to_ask(now):
             address = self._state.members.address_of(name)
             ask = claims.RecoveryAsk(
                 self._state.identity.incarnation,
@@ -93,12 +93,12 @@
         table = self._table_at(now)
         if table is None or message.voters != self.digest:
             return []
-        reply = table.tell(message, now)
+        reply = table.recovery_page(message, now)
         return [effects.SendPeer(source.address, reply)]
 
     def _recovery_received(self, source, message, now):
         table = self._table_at(now)
         incarnation = self._state.identity.incarnation
         if table is not None and message.incarnation == incarnation:
-            table.learn(source.instance, message, now)
+            table.merge_page(source.instance, message, now)
         return []
--- a/packages/dandeliontrail/src/dandeliontrail/components/requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/requests.py
@@ -110,7 +110,7 @@
         wanted = claim_rounds.ClaimRequest(
             work.request_id,
             claims_module.key_of(work.organisation, event.idempotency_key),
-            event.body_digest[: claims_module.NAME_LENGTH],
+            event.body_digest[: claims_module.KEY_DIGEST_LENGTH],
             work.repeatable,
             work.deadline,
         )
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/claim_votes.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/claim_votes.py
@@ -166,7 +166,7 @@
             for other in self._statuses.values()
         )
 
-    def to_ask(self, now):
+    def voters_to_ask(self, now):
         """Return the voters that still have to be asked for their claims.
 
         A vote that this voter cast before its restart may still be counted,
@@ -193,7 +193,7 @@
         """Return the key after which the next page of ``name`` starts."""
         return self._next_page_after.get(name, "")
 
-    def tell(self, ask, now):
+    def recovery_page(self, ask, now):
         """Return the page of claims that another voter asks for.
 
         The claims are sorted by key; ``ask.after`` is exclusive.
@@ -222,7 +222,7 @@
             held.expires - now,
         )
 
-    def learn(self, name, message, now):
+    def merge_page(self, name, message, now):
         """Merge a page of claims from another voter.
 
         The status that counts is the one on the first page: claims that the
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/claims.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/claims.py
@@ -29,7 +29,7 @@
 # Hex digits of a key digest (128 bits).  Any two of 10**15 keys collide with a
 # probability of one in 10**9.  It is no longer, since every voter keeps the
 # digests in memory.
-NAME_LENGTH = 32
+KEY_DIGEST_LENGTH = 32
 
 
 class StoredAnswer(msgspec.Struct):
@@ -147,7 +147,7 @@
 def key_of(organisation, idempotency_key):
     """Return the digest that identifies an organisation's key."""
     text = f"{organisation}\0{idempotency_key}"
-    return hashlib.sha256(text.encode()).hexdigest()[:NAME_LENGTH]
+    return hashlib.sha256(text.encode()).hexdigest()[:KEY_DIGEST_LENGTH]
 
 
 def voters_digest(voters):
