--- a/packages/dandeliontrail/src/dandeliontrail/components/members.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/members.py
@@ -77,7 +77,7 @@
             out.extend(self._report_silence(now))
             out.extend(self._report_relay())
         if self._members.heartbeat_now:
-            self._next_heartbeat = now + membership.HEARTBEAT_INTERVAL
+            self._next_heartbeat = now + membership.HEARTBEAT_INTERVAL_SECONDS
             self._decrease_patience(now)
             out.extend(self._report_reach(now))
             out.extend(self._send_heartbeats(now))
@@ -176,7 +176,7 @@
 
     def _increase_patience(self):
         health = self._members.health + 1
-        self._members.health = min(health, membership.WORST_HEALTH)
+        self._members.health = min(health, membership.MAX_HEALTH_SCORE)
 
     def _decrease_patience(self, now):
         if self._members.health and self._members.hears_anybody(now):
@@ -255,13 +255,13 @@
 
     def _check_linked_member(self, member, now):
         silence = now - member.heard
-        if silence < membership.PROBE_AFTER * self._members.patience():
+        if silence < membership.PROBE_AFTER_SECONDS * self._members.patience():
             return []
         if member.probed is None:
             member.probed = now
             return self._prober.ask(member, now)
         waited = now - member.probed
-        if waited < probes.PROBE_WAIT * self._members.patience():
+        if waited < probes.PROBE_TIMEOUT_SECONDS * self._members.patience():
             return []
         if not self._members.heard_since(member.probed):
             # No member at all was heard since, so the fault lies with this
--- a/packages/dandeliontrail/src/dandeliontrail/components/probes.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/probes.py
@@ -8,7 +8,7 @@
 INDIRECT_PROBES = 3
 # How long to wait for an answer, in seconds: an indirect probe takes a round
 # trip over two links, each well under a second.
-PROBE_WAIT = 1.0
+PROBE_TIMEOUT_SECONDS = 1.0
 
 
 class Probes:
--- a/packages/dandeliontrail/src/dandeliontrail/components/usage.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/usage.py
@@ -233,7 +233,7 @@
         waited for until it is back or has been removed from the membership.
         """
         return all(
-            now - item.agreed < membership.SILENT_AFTER
+            now - item.agreed < membership.SILENT_AFTER_SECONDS
             for item in self._state.members.members.values()
             if item.standing is not LEFT
         )
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/domain_silence.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/domain_silence.py
@@ -16,7 +16,7 @@
 # all instances of a domain send within one tick.  If these messages were
 # counted one by one, the usual gap would become so small that domains with
 # little traffic would be considered silent.
-VOLLEY_SECONDS = 0.05
+BURST_SECONDS = 0.05
 # The usual gap until two bursts were heard: the interval of the heartbeats.
 INITIAL_GAP_SECONDS = 1.0
 # Weight of the newest gap in the moving average.
@@ -53,7 +53,7 @@
         self._last_heard[domain] = now
         before = self._burst_starts.setdefault(domain, now)
         gap = now - before
-        if gap < VOLLEY_SECONDS:
+        if gap < BURST_SECONDS:
             return
         self._burst_starts[domain] = now
         usual = self._usual_gaps.get(domain, gap)
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/membership.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/membership.py
@@ -21,11 +21,11 @@
 Reach = member_records.Reach
 Standing = member_records.Standing
 # Seconds between two heartbeats on each link.
-HEARTBEAT_INTERVAL = 1.0
+HEARTBEAT_INTERVAL_SECONDS = 1.0
 # A linked instance counts as unreachable after 3.5 missed heartbeats.  One
 # second earlier, other instances are asked to probe it.
-SILENT_AFTER = 3.5
-PROBE_AFTER = 2.5
+SILENT_AFTER_SECONDS = 3.5
+PROBE_AFTER_SECONDS = 2.5
 # Where relays are used, a relay that missed a heartbeat is replaced.
 RELAY_SILENT_AFTER_SECONDS = 1.6
 # How long a suspected instance has to refute the suspicion.  An update
@@ -34,7 +34,7 @@
 SUSPICION_SECONDS = 3.0
 # Upper bound of the local health score (0 is healthy), as in Lifeguard.  The
 # timeouts of an instance are multiplied by one plus its score.
-WORST_HEALTH = 4
+MAX_HEALTH_SCORE = 4
 # A gap between two ticks above this means that this process was paused, and
 # that the silence of its peers is no evidence against them.
 MAX_TICK_GAP_SECONDS = 0.5
@@ -434,7 +434,7 @@
 
     def _recent_threshold(self, now):
         """Return the time after which a message counts as recent."""
-        return now - SILENT_AFTER * self.patience()
+        return now - SILENT_AFTER_SECONDS * self.patience()
 
     def hears_majority(self, now):
         """Return whether more than half of all instances are reachable.
@@ -547,7 +547,7 @@
     """Return whether a member is believed to be reachable."""
     if member.gone():
         return False
-    return not member.linked or now - member.heard < SILENT_AFTER
+    return not member.linked or now - member.heard < SILENT_AFTER_SECONDS
 
 
 def _change_between(before, record):
