--- a/packages/dandeliontrail/src/dandeliontrail/components/members.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/members.py
@@ -257,13 +257,13 @@
         silence = now - member.heard
         if silence < membership.PROBE_AFTER_SECONDS * self._members.patience():
             return []
-        if member.probed is None:
-            member.probed = now
+        if member.probed_at is None:
+            member.probed_at = now
             return self._prober.ask(member, now)
-        waited = now - member.probed
+        waited = now - member.probed_at
         if waited < probes.PROBE_TIMEOUT_SECONDS * self._members.patience():
             return []
-        if not self._members.heard_since(member.probed):
+        if not self._members.heard_since(member.probed_at):
             # No member at all was heard since, so the fault lies with this
             # instance.  Suspecting everybody would only delay its recovery.
             return []
@@ -315,7 +315,7 @@
                 self._apply_refutation(source, message.refutations, now)
             )
         member.applied = message.applied
-        member.outside = message.outside
+        member.hears_other_domains = message.outside
         member.linked = not message.last
         if message.ask:
             answer = self._heartbeat_message(last=True)
--- a/packages/dandeliontrail/src/dandeliontrail/components/probes.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/probes.py
@@ -52,7 +52,7 @@
         member = self._state.members.members.get(message.target)
         if member:
             member.heard = now
-            member.probed = None
+            member.probed_at = None
             if member not in self._state.members.links():
                 # It is alive but sends no heartbeats to this instance.
                 member.linked = False
--- a/packages/dandeliontrail/src/dandeliontrail/components/usage.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/usage.py
@@ -163,7 +163,7 @@
     def _handle_heartbeat(self, source, message, now):
         member = self._state.members.members[source.instance]
         same = message.usage_finished == self._ledger.finished_root()
-        member.agreed = now if same else float("-inf")
+        member.usage_agreed_at = now if same else float("-inf")
         publisher = usage.Publisher(source.instance, source.incarnation)
         if not self._holds_all_rows():
             return []
@@ -233,7 +233,7 @@
         waited for until it is back or has been removed from the membership.
         """
         return all(
-            now - item.agreed < membership.SILENT_AFTER_SECONDS
+            now - item.usage_agreed_at < membership.SILENT_AFTER_SECONDS
             for item in self._state.members.members.values()
             if item.standing is not LEFT
         )
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/member_records.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/member_records.py
@@ -52,12 +52,12 @@
 
     ``heard`` is when it was last heard directly and ``since`` when its record
     last changed, both on this instance's monotonic clock.  ``applied`` is the
-    configuration version in force there.  ``outside`` tells whether it
-    reports that it hears other failure domains, ``linked`` whether it sends
-    heartbeats to this instance.  ``probed`` is when others were asked to
+    configuration version in force there.  ``hears_other_domains`` tells
+    whether it reports that it does, ``linked`` whether it sends
+    heartbeats to this instance.  ``probed_at`` is when others were asked to
     probe it, ``None`` if they were not.  ``offset`` is the smallest
     difference between this clock and its own in the current period,
-    ``offset_before`` that in the previous one.  ``agreed`` is when its table
+    ``offset_before`` that in the previous one.  ``usage_agreed_at`` is when its table
     of finished usage last equalled the local one.
     """
 
@@ -66,11 +66,11 @@
     since: float
     applied: int = 0
     linked: bool = False
-    probed: float | None = None
+    probed_at: float | None = None
     offset: float = float("inf")
     offset_before: float = float("inf")
-    agreed: float = float("-inf")
-    outside: bool = False
+    usage_agreed_at: float = float("-inf")
+    hears_other_domains: bool = False
 
     @property
     def instance(self):
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/membership.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/membership.py
@@ -144,7 +144,7 @@
         if sender.incarnation < held.incarnation:
             return held
         held.heard = now
-        held.probed = None
+        held.probed_at = None
         self._domain_activity.note(held.failure_domain, now)
         self._update_min_offset(held, sender, now)
         return held
@@ -202,7 +202,7 @@
         )
         held.record = record
         held.since = now
-        held.probed = None
+        held.probed_at = None
         if record.incarnation != before.incarnation:
             held.offset = float("inf")
             held.offset_before = float("inf")
@@ -425,7 +425,7 @@
         domain = self._identity.failure_domain
         if not self.full_mesh() and not self.is_relay():
             return any(
-                item.outside and reached(item, now)
+                item.hears_other_domains and reached(item, now)
                 for item in self.relays_of(domain)
             )
         return self._domain_activity.any_after(
@@ -478,8 +478,8 @@
         for member in self.members.values():
             member.heard += seconds
             member.since += seconds
-            if member.probed is not None:
-                member.probed += seconds
+            if member.probed_at is not None:
+                member.probed_at += seconds
         self._domain_activity.shift(seconds)
 
     def note_tick(self, now):
