--- a/packages/dandeliontrail/src/dandeliontrail/components/repair.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/repair.py
@@ -66,7 +66,7 @@
 
     def _first_message(self, table):
         digest = self._digest(table)
-        if len(digest) <= dissemination.SMALL_TABLE:
+        if len(digest) <= dissemination.MAX_SMALL_TABLE_ENTRIES:
             return self._keys_message(table, list(range(digests.BUCKETS)))
         return dissemination.SyncBuckets(table, list(digest.buckets))
 
@@ -81,7 +81,7 @@
         count = 0
         for index in digest.differing(message.hashes):
             count += len(digest.entries([index]))
-            if chosen and count > dissemination.MOST_KEYS:
+            if chosen and count > dissemination.MAX_KEYS_PER_MESSAGE:
                 break
             chosen.append(index)
         if not chosen:
@@ -102,7 +102,7 @@
         want = [key for key in theirs if theirs[key] != own.get(key)]
         out = self._records(message.table, send, now)
         if want:
-            want = sorted(want)[: dissemination.MOST_KEYS]
+            want = sorted(want)[: dissemination.MAX_KEYS_PER_MESSAGE]
             out.append(dissemination.SyncWant(message.table, want))
         return [effects.SendPeer(source.address, item) for item in out]
 
@@ -111,7 +111,7 @@
         return [effects.SendPeer(source.address, item) for item in records]
 
     def _records(self, table, keys, now):
-        keys = sorted(keys)[: dissemination.MOST_KEYS]
+        keys = sorted(keys)[: dissemination.MAX_KEYS_PER_MESSAGE]
         if table is Table.MEMBERS:
             records = self._member_records(keys)
         elif table is Table.SERVERS:
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/dissemination.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/dissemination.py
@@ -15,10 +15,10 @@
 
 # Tables up to this number of entries are compared by key without comparing
 # buckets first, which saves a round trip and costs about a kilobyte at most.
-SMALL_TABLE = 32
+MAX_SMALL_TABLE_ENTRIES = 32
 # Maximum number of keys that one message compares or sends, so that the repair
 # after a long partition is spread over several seconds.
-MOST_KEYS = 256
+MAX_KEYS_PER_MESSAGE = 256
 
 
 class Table(enum.Enum):
