--- a/packages/dandeliontrail/src/dandeliontrail/components/usage.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/usage.py
@@ -112,7 +112,7 @@
             return members.links()
         own = self._state.identity
         relays = members.relays_of(own.failure_domain)
-        number, _ = links.place(own.instance)
+        number, _ = links.hash_order_key(own.instance)
         return [relays[number % len(relays)]] if relays else []
 
     def _holds_all_rows(self):
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/links.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/links.py
@@ -23,7 +23,7 @@
 MAX_FULL_MESH = 16
 # Relays of one failure domain.  With two, one may fail before the others
 # notice.  More would cost each instance more, and with ten failure domains at
-# most 23 instances may be set aside as relays.
+# most 23 instances in all may be set aside for control.
 RELAYS_PER_DOMAIN = 2
 
 
@@ -39,7 +39,7 @@
     is_relay: bool
 
 
-def place(name):
+def hash_order_key(name):
     """Return the sort key of a name, which is the same on every instance."""
     return (digests.hash_of(name.encode()), name)
 
@@ -67,7 +67,7 @@
 
 def _relays(domain_of, silent):
     by_domain = {}
-    for name in sorted(domain_of, key=place):
+    for name in sorted(domain_of, key=hash_order_key):
         by_domain.setdefault(domain_of[name], []).append(name)
     return {
         domain: ([name for name in names if name not in silent] or names)[
