--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_leader.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_leader.py
@@ -27,7 +27,7 @@
 # SMALL_IN_FLIGHT_BYTES are sent again at each heartbeat: large entries would
 # queue up five times a second at every follower that decodes slowly
 # (``test_large_entries``).
-SLOW_LINK_BYTES = 500_000.0
+SLOW_LINK_BYTES_PER_SECOND = 500_000.0
 SMALL_IN_FLIGHT_BYTES = 32 * 1024
 # A leader that has not heard from a majority for this long steps down, so
 # that it stops accepting writes that it cannot commit.
@@ -347,4 +347,6 @@
     """Return whether a follower's unacknowledged entries count as lost."""
     if peer.in_flight_bytes <= SMALL_IN_FLIGHT_BYTES:
         return True
-    return now - peer.sent_at > peer.in_flight_bytes / SLOW_LINK_BYTES
+    return (
+        now - peer.sent_at > peer.in_flight_bytes / SLOW_LINK_BYTES_PER_SECOND
+    )
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_readiness.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_readiness.py
@@ -13,7 +13,7 @@
 QUERY_INTERVAL_SECONDS = 0.3
 # Just after the start, the keepers are queried more often than the others:
 # they are the first to learn of a confirmation, and callers wait for it.
-KEEPERS_INTERVAL = 0.05
+KEEPER_QUERY_INTERVAL_SECONDS = 0.05
 KEEPER_QUERY_PERIOD_SECONDS = 2.0
 
 
@@ -66,7 +66,7 @@
         )
         if self.ready or not early or now < self._next_keeper_query_at:
             return 0
-        self._next_keeper_query_at = now + KEEPERS_INTERVAL
+        self._next_keeper_query_at = now + KEEPER_QUERY_INTERVAL_SECONDS
         return self._new_query(now)
 
     def _new_query(self, now):
--- a/tests/common/duty_world.py
+++ b/tests/common/duty_world.py
@@ -186,7 +186,7 @@
 
         def synced():
             if node.up and disk.cache and disk.cache[0] is effect:
-                self.apply(node, events.LogSynced(disk.keep()))
+                self.apply(node, events.LogSynced(disk.sync_oldest()))
 
         self.call_later(0.001, synced)
 
--- a/tests/common/quorum_world.py
+++ b/tests/common/quorum_world.py
@@ -69,7 +69,7 @@
         self.records = []
         self.cache = []
 
-    def keep(self):
+    def sync_oldest(self):
         """Sync the oldest cached write and return its ticket."""
         effect = self.cache.pop(0)
         if isinstance(effect, effects.ReplaceLog):
@@ -227,7 +227,7 @@
             synced_count = self.rng.randint(0, len(node.disk.cache))
             synced_count *= self.rng.randint(0, 1)
             for _ in range(synced_count):
-                node.disk.keep()
+                node.disk.sync_oldest()
             node.disk.cache = []
         self._drop_unreachable()
 
@@ -345,7 +345,7 @@
                 continue
             if self.rng.random() < self.slow_disk:
                 continue
-            ticket = node.disk.keep()
+            ticket = node.disk.sync_oldest()
             self.run_effects(name, node.log.synced(ticket, self.now))
 
     # -- invariants -------------------------------------------------------
--- a/tests/cover/test_quorum_rules.py
+++ b/tests/cover/test_quorum_rules.py
@@ -35,7 +35,7 @@
     out = node.log.handlers()[type(message)](sender, message, world.now)
     world.run_effects(target, out)
     while node.disk and node.disk.cache:
-        more = node.log.synced(node.disk.keep(), world.now)
+        more = node.log.synced(node.disk.sync_oldest(), world.now)
         world.run_effects(target, more)
         out = out + more
     return [item.message for item in out if isinstance(item, effects.SendPeer)]
