--- a/packages/dandeliontrail/src/dandeliontrail/components/configuration.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/configuration.py
@@ -111,11 +111,11 @@
     def _handle_write(self, event, now):
         change = event.change
         operation_id = change.operation_id or event.write_id
-        settled = answer_to(event.write_id)
+        settled = answer_callback(event.write_id)
         return self._state.log.propose(change, operation_id, now, settled)
 
     def _handle_read(self, event, now):
-        settled = answer_to(event.read_id)
+        settled = answer_callback(event.read_id)
         mark = entries.ReadMark()
         return self._state.log.propose(mark, event.read_id, now, settled)
 
@@ -148,7 +148,7 @@
         return self._state.log.storage_failed(event.detail, now)
 
 
-def answer_to(write_id):
+def answer_callback(write_id):
     """Return a callback that answers the request ``write_id``."""
 
     def settled(outcome, now):
--- a/packages/dandeliontrail/src/dandeliontrail/components/duties.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/duties.py
@@ -76,7 +76,7 @@
 
     def tick(self, now):
         """Make the calls that are due if this instance should make them."""
-        self._servers.lives(now)
+        self._servers.record_running(now)
         own = self._state.identity.instance
         if not self._options.any or not self._is_keeper(own):
             return []
--- a/packages/dandeliontrail/src/dandeliontrail/components/server_loads.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/server_loads.py
@@ -47,7 +47,7 @@
 
     def handlers(self):
         """Return the handler of other instances' loads."""
-        return {server_loads.ServerLoads: self._heard}
+        return {server_loads.ServerLoads: self._handle_loads}
 
     def tick(self, now):
         """Send the loads that changed, at most ten times per second."""
@@ -140,7 +140,7 @@
             for item in members.relays_of(domain)[:1]
         ]
 
-    def _heard(self, source, message, now):
+    def _handle_loads(self, source, message, now):
         loads = message.loads
         if message.of == server_loads.ALL:
             if self._is_aggregator():
--- a/packages/dandeliontrail/src/dandeliontrail/components/server_orders.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/server_orders.py
@@ -16,7 +16,7 @@
 # this long.  Servers announce themselves about once per second.
 STABLE_SECONDS = 2.0
 # This long after its start, an instance has heard of all existing servers.
-INFORMED_SECONDS = 4.0
+DISCOVERY_SECONDS = 4.0
 # An order whose servers do not appear is repeated this long after the end of
 # the time that they take to boot.
 OVERDUE_SECONDS = 3.0
@@ -38,13 +38,13 @@
         self._next_check = 0.0
         self._informed_at = None
 
-    def lives(self, now):
+    def record_running(self, now):
         """Record that this instance runs, also while it is not the holder.
 
-        The first call starts the time of ``INFORMED_SECONDS``.
+        The first call starts the time of ``DISCOVERY_SECONDS``.
         """
         if self._informed_at is None:
-            self._informed_at = now + INFORMED_SECONDS
+            self._informed_at = now + DISCOVERY_SECONDS
 
     def tick(self, now):
         """Return the effects of the orders that change."""
--- a/packages/dandeliontrail/src/dandeliontrail/reducer.py
+++ b/packages/dandeliontrail/src/dandeliontrail/reducer.py
@@ -157,7 +157,7 @@
         ),
         usage.Usage(state, keeps_usage),
         configuration.Configuration(state),
-        revisions.Revisions(state, configuration.answer_to),
+        revisions.Revisions(state, configuration.answer_callback),
         voting_component,
         claims_component,
         ends,
--- a/tests/cover/test_server_counts.py
+++ b/tests/cover/test_server_counts.py
@@ -297,7 +297,7 @@
     # before.
     platform = scaled()
     both = platform.serving[group_of("fd1", False)] = ["s1", "s2"]
-    platform.run(server_orders.INFORMED_SECONDS - 1.0)
+    platform.run(server_orders.DISCOVERY_SECONDS - 1.0)
     assert all(call.group.spot for call in platform.calls)
     of_first = [
         call.count
@@ -318,7 +318,7 @@
     # Servers start well before their traffic, and until spot servers have
     # started every second is paid for at the full price.
     platform = scaled()
-    platform.run(server_orders.INFORMED_SECONDS / 2)
+    platform.run(server_orders.DISCOVERY_SECONDS / 2)
     ordered = {call.group: call.count for call in platform.calls}
     assert ordered == {group_of(item, True): IN_EACH - 1 for item in DOMAINS}
 
@@ -367,7 +367,7 @@
 
     now = platform.keeper.now
     successor = server_orders.ServerOrders(state, propose)
-    successor.lives(now - 20.0)
+    successor.record_running(now - 20.0)
     platform.take_away("fd1")
     platform.take_away("fd2")
     successor.tick(now)
@@ -390,7 +390,7 @@
         state, lambda order, now, settled: proposed.append(order) or []
     )
     now = platform.keeper.now
-    fresh.lives(now)
+    fresh.record_running(now)
     platform.take_away("fd2")
-    fresh.tick(now + server_orders.INFORMED_SECONDS - 1.0)
+    fresh.tick(now + server_orders.DISCOVERY_SECONDS - 1.0)
     assert proposed == []
--- a/tests/cover/test_shared_policy.py
+++ b/tests/cover/test_shared_policy.py
@@ -374,17 +374,19 @@
     relay = relay_of_two_domains()
     outside = server_loads.Read("e0", [("x", 9)])
     inside = server_loads.Read("e0", [("y", 9)])
-    relay._heard(FAR, server_loads.ServerLoads([], [outside], "fd1"), 0.0)
-    relay._heard(NEAR, server_loads.ServerLoads([], [inside]), 0.0)
+    relay._handle_loads(
+        FAR, server_loads.ServerLoads([], [outside], "fd1"), 0.0
+    )
+    relay._handle_loads(NEAR, server_loads.ServerLoads([], [inside]), 0.0)
     (sent,) = relay.tick(1.0)
     assert sent.address == "far"
     assert sent.message.reads == [inside]
     other = messages.Sender("c", "near2", "fd0", "r", 1)
-    (answer,) = relay._heard(other, server_loads.ServerLoads([]), 1.0)
+    (answer,) = relay._handle_loads(other, server_loads.ServerLoads([]), 1.0)
     assert answer.address == "near2"
     assert answer.message.reads == [outside, inside]
     again = [*relay.tick(2.0)]
-    again += relay._heard(other, server_loads.ServerLoads([]), 2.0)
+    again += relay._handle_loads(other, server_loads.ServerLoads([]), 2.0)
     assert [item.message.reads for item in again] == [[], []]
 
 
@@ -394,9 +396,9 @@
     # batches a second, with half a core and callers of its own to serve.
     relay = relay_of_two_domains()
     loads = [server_loads.Load("e0", 2, 500)]
-    relay._heard(FAR, server_loads.ServerLoads(loads, [], "fd1"), 0.0)
+    relay._handle_loads(FAR, server_loads.ServerLoads(loads, [], "fd1"), 0.0)
     own = [server_loads.Load("e0", 1, 100)]
-    (answer,) = relay._heard(NEAR, server_loads.ServerLoads(own), 0.1)
+    (answer,) = relay._handle_loads(NEAR, server_loads.ServerLoads(own), 0.1)
     assert answer.message.loads == [server_loads.Load("e0", 3, 600)]
     (outer,) = relay.tick(0.2)
     assert (outer.address, outer.message.loads) == ("far", own)
@@ -412,17 +414,23 @@
     # prefilled again at other engines.
     relay = relay_of_two_domains()
     read = server_loads.Read("e0", [("y", 9)])
-    relay._heard(NEAR, server_loads.ServerLoads([], [read]), 0.0)
+    relay._handle_loads(NEAR, server_loads.ServerLoads([], [read]), 0.0)
     newcomer = messages.Sender("c", "near2", "fd0", "r", 7)
-    (answer,) = relay._heard(newcomer, server_loads.ServerLoads([]), 5.0)
+    (answer,) = relay._handle_loads(
+        newcomer, server_loads.ServerLoads([]), 5.0
+    )
     assert answer.message.reads == [read]
-    (answer,) = relay._heard(newcomer, server_loads.ServerLoads([]), 5.5)
+    (answer,) = relay._handle_loads(
+        newcomer, server_loads.ServerLoads([]), 5.5
+    )
     assert answer.message.reads == []
     restarted = messages.Sender("c", "near2", "fd0", "r", 8)
-    (answer,) = relay._heard(restarted, server_loads.ServerLoads([]), 6.0)
+    (answer,) = relay._handle_loads(
+        restarted, server_loads.ServerLoads([]), 6.0
+    )
     assert answer.message.reads == [read]
     late = messages.Sender("d", "near3", "fd0", "r", 1)
-    (answer,) = relay._heard(late, server_loads.ServerLoads([]), 60.0)
+    (answer,) = relay._handle_loads(late, server_loads.ServerLoads([]), 60.0)
     assert answer.message.reads == []
 
 
@@ -433,8 +441,8 @@
     standby._state.members.is_first_relay = lambda: False
     loads = [server_loads.Load("e0", 2, 500)]
     first = messages.Sender("a", "near", "fd0", "r", 1)
-    standby._heard(first, server_loads.ServerLoads(loads, [], "*"), 0.0)
-    standby._heard(FAR, server_loads.ServerLoads(loads, [], "fd1"), 0.0)
+    standby._handle_loads(first, server_loads.ServerLoads(loads, [], "*"), 0.0)
+    standby._handle_loads(FAR, server_loads.ServerLoads(loads, [], "fd1"), 0.0)
     assert standby._state.loads.running("e0") == 2
 
 
