--- a/packages/dandeliontrail/src/dandeliontrail/components/claim_rounds.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/claim_rounds.py
@@ -22,7 +22,10 @@
 
     @abc.abstractmethod
     def claim_refused(self, request_id, nothing, may_have_run, now):
-        """No answer is available; ``may_have_run`` tells if its key ran."""
+        """No answer is available.
+
+        ``may_have_run`` tells whether the key may have run.
+        """
 
 
 class ClaimRequest(msgspec.Struct):
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/member_records.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/member_records.py
@@ -53,12 +53,12 @@
     ``heard`` is when it was last heard directly and ``since`` when its record
     last changed, both on this instance's monotonic clock.  ``applied`` is the
     configuration version in force there.  ``hears_other_domains`` tells
-    whether it reports that it does, ``linked`` whether it sends
-    heartbeats to this instance.  ``probed_at`` is when others were asked to
-    probe it, ``None`` if they were not.  ``offset`` is the smallest
+    whether it reports that it hears other failure domains, ``linked`` whether
+    it sends heartbeats to this instance.  ``probed_at`` is when others were
+    asked to probe it, ``None`` if they were not.  ``offset`` is the smallest
     difference between this clock and its own in the current period,
-    ``offset_before`` that in the previous one.  ``usage_agreed_at`` is when its table
-    of finished usage last equalled the local one.
+    ``offset_before`` that in the previous one.  ``usage_agreed_at`` is when
+    its table of finished usage last equalled the local one.
     """
 
     record: MemberRecord
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/crash_suspects.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/crash_suspects.py
@@ -17,8 +17,8 @@
   innocent request that is resent once meets.
 """
 
-# A request is blocked after this many crashes that are not attributed to another
-# one.
+# A request is blocked after this many crashes that are not attributed to
+# another one.
 CRASHES_TO_BLOCK = 3
 # This many crashes block a request even if other requests are the likelier
 # cause.  A caller that resends once makes two attempts twice, so an innocent
@@ -29,8 +29,8 @@
 # A server that announces itself this long after a connection to it closed has
 # not crashed.  Announcements from before may be delayed for as long.
 ALIVE_MARGIN_SECONDS = 2.0
-# A blocked request may try again this long after the last crash, once: the next
-# crash blocks it again.
+# A blocked request may try again this long after the last crash, once: the
+# next crash blocks it again.
 BLOCK_SECONDS = 600.0
 
 
--- a/tests/cover/test_claims.py
+++ b/tests/cover/test_claims.py
@@ -59,9 +59,9 @@
     second = world.request("i0", "report")
     world.settle(12.0)
     assert second not in world.running
-    reason, ran = world.peers["i0"].recorder.refused[second]
+    reason, may_have_run = world.peers["i0"].recorder.refused[second]
     assert reason is sentinels.Reason.NO_QUORUM
-    assert not ran
+    assert not may_have_run
 
 
 def test_voter_recovers_from_the_others_and_votes_again():
@@ -88,9 +88,9 @@
     world.crash("i0")
     second = world.request("v1", "order")
     world.settle()
-    reason, ran = world.peers["v1"].recorder.refused[second]
+    reason, may_have_run = world.peers["v1"].recorder.refused[second]
     assert reason is sentinels.Reason.HOLDER_LOST
-    assert ran
+    assert may_have_run
 
 
 def test_key_with_another_body_is_refused():
@@ -99,7 +99,7 @@
     world.settle()
     second = world.request("i0", "order", "body-2")
     world.settle()
-    reason, ran = world.peers["i0"].recorder.refused[second]
+    reason, may_have_run = world.peers["i0"].recorder.refused[second]
     assert reason is sentinels.Reason.KEY_REUSED
 
 
