--- a/packages/dandeliontrail/src/dandeliontrail/components/hedges.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/hedges.py
@@ -3,7 +3,7 @@
 A silent server may still answer, so its attempt is cancelled only once the
 hedge produces output.  Until then the request has two attempts, each counted
 as load on its own server.  State shared by both, such as the number of servers
-reached, is kept in :mod:`.life`.
+reached, is kept in :mod:`.request_lifecycle`.
 """
 
 from .. import effects
@@ -37,10 +37,10 @@
         limit = work.max_attempts or MAX_ATTEMPTS
         if not work.repeatable or request.begun >= limit:
             return
-        if self._ends.holds(work.fingerprint, not_before):
+        if self._ends.is_blocked(work.fingerprint, not_before):
             return
         work.avoid.add(request.server)
-        work.turned_away.discard(request.server)
+        work.rejected_by.discard(request.server)
         request.seeking_hedge = True
         self._policy.seek(work, not_before)
 
@@ -90,7 +90,7 @@
         The rejecting server is tried again only once no other one is left.
         """
         if not event.gone:
-            request.work.turned_away.add(request.hedge.server)
+            request.work.rejected_by.add(request.hedge.server)
         pause = 0.0
         if event.server_said:
             backoff_factor = 2.0**request.hedges_rejected
@@ -109,7 +109,7 @@
 
     def failed(self, request, event, now):
         """Handle a failed hedge, and look for another server."""
-        self._ends.ended_under(request.hedge, event, now)
+        self._ends.record_failed_attempt(request.hedge, event, now)
         self._seek_next(request, now)
 
     def _stop_seeking(self, request):
--- a/packages/dandeliontrail/src/dandeliontrail/components/probes.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/probes.py
@@ -8,7 +8,7 @@
 INDIRECT_PROBES = 3
 # How long to wait for an answer, in seconds: an indirect probe takes a round
 # trip over two links, each well under a second.
-PROBE_WAIT = 1.0
+PROBE_TIMEOUT_SECONDS = 1.0
 
 
 class Probes:
@@ -52,7 +52,7 @@
         member = self._state.members.members.get(message.target)
         if member:
             member.heard = now
-            member.probed = None
+            member.probed_at = None
             if member not in self._state.members.links():
                 # It is alive but sends no heartbeats to this instance.
                 member.linked = False
--- a/packages/dandeliontrail/src/dandeliontrail/components/requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/requests.py
@@ -12,7 +12,6 @@
 from .. import sentinels
 from . import answers
 from . import attainment
-from . import begun
 from . import claim_rounds
 from ..coordination import claims as claims_module
 from ..coordination import server_loads
@@ -24,8 +23,9 @@
 from . import endings
 from . import hedges
 from . import intake
-from . import life
 from . import measures
+from . import request_lifecycle
+from . import start_counter
 
 # Delay before a request that a busy server rejected is retried.  Without it
 # the request would be resent as fast as the server can reject it.
@@ -48,7 +48,8 @@
 class Requests(claim_rounds.Listener, interfaces.Component):
     """Tracks open requests and applies the decisions of a policy.
 
-    ``lives`` maps the id of each open request to its ``life.Life``.
+    ``lives`` maps the id of each open request to its
+    ``request_lifecycle.RequestLifecycle``.
     """
 
     def __init__(self, state, policy, claimer, ends):
@@ -59,7 +60,7 @@
         claimer.listener = self
         self._delayed_retries = []
         self._early_requests = early_requests.EarlyRequests()
-        self._start_counter = begun.StartCounter(state.duties)
+        self._start_counter = start_counter.StartCounter(state.duties)
         self._hedges = hedges.Hedges(policy, ends)
         self.lives = {}
         self._endings = endings.Endings(
@@ -101,15 +102,15 @@
         work = intake.work_of(self._state, event, now)
         if not work:
             return [answers.refusal(event.request_id, work)]
-        request = life.Life(work)
+        request = request_lifecycle.RequestLifecycle(work)
         self.lives[work.request_id] = request
         if not event.idempotency_key:
             return self._enqueue(request, now)
-        request.transition_to(life.Phase.CLAIMING)
-        wanted = claim_rounds.Wanted(
+        request.transition_to(request_lifecycle.Phase.CLAIMING)
+        wanted = claim_rounds.ClaimRequest(
             work.request_id,
             claims_module.key_of(work.organisation, event.idempotency_key),
-            event.body_digest[: claims_module.NAME_LENGTH],
+            event.body_digest[: claims_module.KEY_DIGEST_LENGTH],
             work.repeatable,
             work.deadline,
         )
@@ -134,7 +135,7 @@
                 answers.refusal(event.request_id, work),
                 answers.turned_away_line(self._state, event, work, now),
             ]
-        request = life.Life(work)
+        request = request_lifecycle.RequestLifecycle(work)
         self.lives[work.request_id] = request
         return self._enqueue(request, now)
 
@@ -146,37 +147,39 @@
         request.holds_key = True
         return self._enqueue(request, now)
 
-    def claim_unneeded(self, request_id, now):
+    def claim_unavailable(self, request_id, now):
         """Queue a repeatable request although its key cannot be claimed."""
         return self._enqueue(self.lives[request_id], now)
 
     def claim_answered(self, request_id, answer, now):
         """Replay the stored answer of the key."""
         request = self.lives.pop(request_id)
-        request.transition_to(life.Phase.COMPLETE)
+        request.transition_to(request_lifecycle.Phase.COMPLETE)
         return [
             effects.Replay(request_id, answer),
             answers.decision(request.work, "replayed", answer.backend_server),
         ]
 
-    def claim_refused(self, request_id, nothing, ran, now):
+    def claim_refused(self, request_id, nothing, may_have_run, now):
         """Refuse a request that was not granted its key."""
         request = self.lives.pop(request_id)
         request.transition_to(
-            life.Phase.UNKNOWN if ran else life.Phase.NOT_RUN
+            request_lifecycle.Phase.UNKNOWN
+            if may_have_run
+            else request_lifecycle.Phase.NOT_RUN
         )
         return [
-            answers.refusal(request_id, nothing, begun=ran),
+            answers.refusal(request_id, nothing, begun=may_have_run),
             answers.decision(request.work, nothing.reason.value, ""),
         ]
 
     def _enqueue(self, request, now):
-        if self._ends.holds(request.work.fingerprint, now):
+        if self._ends.is_blocked(request.work.fingerprint, now):
             return self._endings.refuse(request, ENDS_SERVERS, now)
         offered = self._policy.offer(request.work, now)
         if not offered:
             return self._endings.refuse(request, offered, now)
-        request.transition_to(life.Phase.QUEUED)
+        request.transition_to(request_lifecycle.Phase.QUEUED)
         return self._run_policy(now)
 
     def _run_policy(self, now):
@@ -204,7 +207,7 @@
         A request is blocked when several servers crashed while running it.
         One that waits at a server is withdrawn before it starts there.
         """
-        fingerprints = set(self._ends.take_newly_held())
+        fingerprints = set(self._ends.take_newly_blocked())
         if not fingerprints:
             return []
         out = []
@@ -212,11 +215,12 @@
             if request.work.fingerprint not in fingerprints:
                 continue
             out.extend(self._hedges.withdraw(request, now))
-            if request.phase is life.Phase.QUEUED:
+            if request.phase is request_lifecycle.Phase.QUEUED:
                 self._policy.withdraw(request.work.request_id)
                 out.extend(self._endings.refuse(request, ENDS_SERVERS, now))
-            elif request.phase in life.AWAITING_OUTPUT and _is_stoppable(
-                request.work
+            elif (
+                request.phase in request_lifecycle.AWAITING_OUTPUT
+                and _is_stoppable(request.work)
             ):
                 out.extend(self._cut_off_blocked(request, now))
         return out
@@ -322,7 +326,7 @@
         retry budget of the policy.
         """
         request.work.avoid.add(request.server)
-        if self._ends.holds(request.work.fingerprint, now):
+        if self._ends.is_blocked(request.work.fingerprint, now):
             return self._refuse(request, ENDS_SERVERS, now)
         if request.dispatches >= hedges.MAX_ATTEMPTS:
             nothing = sentinels.Nothing(sentinels.Reason.NO_SERVER, 1.0)
@@ -351,7 +355,7 @@
         """
         work = request.work
         work.avoid.add(request.server)
-        if self._ends.holds(work.fingerprint, now):
+        if self._ends.is_blocked(work.fingerprint, now):
             return self._refuse(request, ENDS_SERVERS, now)
         rejected = request.servers_reached - request.begun
         if request.begun >= work.max_attempts or rejected >= MAX_REJECTIONS:
@@ -387,7 +391,7 @@
         request = self._find_current(event)
         if request is None:
             return []
-        request.transition_to(life.Phase.STREAMING)
+        request.transition_to(request_lifecycle.Phase.STREAMING)
         request.output_at = now
         self._policy.first_output(event.request_id, now)
         if request.first_output:
@@ -408,10 +412,10 @@
         if request is None:
             return []
         self._hedges.drop(request, now)
-        request.transition_to(life.Phase.COMPLETE)
+        request.transition_to(request_lifecycle.Phase.COMPLETE)
         work = request.work
         del self.lives[work.request_id]
-        self._ends.served(work.fingerprint, now)
+        self._ends.record_served(work.fingerprint, now)
         ended = work_module.Ended(
             work.request_id,
             request.server,
@@ -449,7 +453,7 @@
         if request is None:
             return []
         self._start_counter.attempt_failed(request)
-        self._ends.ended_under(request, event, now)
+        self._ends.record_failed_attempt(request, event, now)
         self._endings.report_attempt_end(request, now, failed=True)
         # Only wasted tokens: the request itself is counted once its answer is
         # complete.
@@ -460,7 +464,7 @@
             nothing = sentinels.Nothing(sentinels.Reason.SERVER_FAILED)
             return self._refuse(request, nothing, now)
         out = self._endings.cancel(request, request.server)
-        request.transition_to(life.Phase.QUEUED)
+        request.transition_to(request_lifecycle.Phase.QUEUED)
         if self._hedges.continue_with_hedge(request):
             return out + self._run_policy(now)
         if request.work.routed:
@@ -473,8 +477,9 @@
         if request is None:
             self._early_requests.drop(event.request_id)
             return []
-        if request.phase not in life.WAITING and not _is_stoppable(
-            request.work
+        if (
+            request.phase not in request_lifecycle.WAITING
+            and not _is_stoppable(request.work)
         ):
             # It may have begun, and half a report or half an order is worse
             # than a complete one that the caller requests again.
@@ -483,7 +488,7 @@
 
     def _overdue(self, event, now):
         request = self.lives.get(event.request_id)
-        if request is None or request.phase in life.WAITING:
+        if request is None or request.phase in request_lifecycle.WAITING:
             return []
         if not request.work.repeatable and not request.work.routed:
             return []
@@ -502,7 +507,10 @@
         request = self.lives.get(event.request_id)
         if request is None:
             return self._cut_short_early(event.request_id)
-        begun = request.begun > 0 or request.phase is life.Phase.CLAIMING
+        begun = (
+            request.begun > 0
+            or request.phase is request_lifecycle.Phase.CLAIMING
+        )
         refusal = answers.refusal(event.request_id, DRAINING, begun=begun)
         out = self._stop(request, "cut_short", now)
         return [effects.CutOff(refusal)] + out
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/fleet.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/fleet.py
@@ -5,7 +5,7 @@
 from . import attempts
 from . import concurrency
 from . import engines
-from . import pace
+from . import latency_baseline
 from . import ramp
 from . import reserve
 
@@ -27,7 +27,7 @@
         self._rng = rng
         self._options = options
         self._engines = {}
-        self._pace = pace.Pace()
+        self._latency_baseline = latency_baseline.LatencyBaseline()
         self.servers = {}
         self.attempts = attempts.Attempts()
         # Free slots of this instance on all engines, and how many of them are
@@ -36,7 +36,7 @@
         self.reserved = 0.0
         self.ramp = ramp.Ramp()
         self._unprotected_seconds = 4.0
-        self.medians = pace.Medians()
+        self.medians = latency_baseline.Medians()
         self.sharing = Sharing()
 
     def engine(self, server, now):
@@ -44,7 +44,7 @@
         name = server.announcement.backend_server
         engine = self._engines.get(name)
         if engine is None:
-            engine = engines.Engine(name, server.announcement.slots)
+            engine = engines.EngineEstimate(name, server.announcement.slots)
             self._engines[name] = engine
             self.servers[name] = server
             self.observe(server, now)
@@ -67,7 +67,7 @@
         if self._options.aged_reports:
             engine.report(load, measured)
         if self._options.shared_room:
-            engine.share(self.sharing.instances, self._rng.random())
+            engine.update_quota(self.sharing.instances, self._rng.random())
         else:
             engine.quota = engine.limit
             engine.allowed = max(
@@ -124,7 +124,7 @@
     def place(self, work, server, footprint, now, hedge=False):
         """Count an attempt, or a hedge, as outstanding."""
         engine = self._engines[server]
-        engine.change_own(1, now)
+        engine.change_own_count(1, now)
         engine.kv_own += footprint
         self._count_free(engine)
         engine.kv_placed.append((now, footprint))
@@ -143,7 +143,9 @@
         engine = self._engines.get(attempt.server)
         if engine is not None:
             elapsed = now - attempt.placed
-            ratio = self._pace.ratio("first", attempt.work.class_name, elapsed)
+            ratio = self._latency_baseline.ratio(
+                "first", attempt.work.class_name, elapsed
+            )
             engine.first.add(ratio)
             self._update_slow(engine, now)
             self._end_probe(attempt, engine, now)
@@ -153,14 +155,14 @@
         engine.failures = 0
         slow = self.medians.slow(engine)
         if slow and not engine.slow:
-            engine.drain(now)
+            engine.mark_slow(now)
         engine.slow = slow
 
     def _end_probe(self, attempt, engine, now):
         if attempt.probe:
             attempt.probe = False
             engine.probing = False
-            engine.next_probe = now + engines.PROBE_INTERVAL
+            engine.next_probe = now + engines.PROBE_INTERVAL_SECONDS
 
     def ended(self, ended, now):
         """Remove an attempt and learn from it; return it or ``None``."""
@@ -170,11 +172,11 @@
         engine = self._engines.get(attempt.server)
         if engine is None:
             return attempt
-        engine.change_own(-1, now)
+        engine.change_own_count(-1, now)
         engine.kv_own -= attempt.footprint
         self._end_probe(attempt, engine, now)
         if ended.failed:
-            engine.fail(now)
+            engine.record_failure(now)
         elif not ended.wasted:
             self._learn_from_answer(attempt, engine, ended, now)
         self._count_free(engine)
@@ -191,15 +193,17 @@
         if not ended.gaps_ms:
             return
         gap = sum(ended.gaps_ms) / len(ended.gaps_ms)
-        ratio = self._pace.ratio("gap", attempt.work.class_name, gap)
+        ratio = self._latency_baseline.ratio(
+            "gap", attempt.work.class_name, gap
+        )
         engine.gap.add(ratio)
         self._update_slow(engine, now)
         if self._options.learned_limits:
             slots = self.servers[engine.name].announcement.slots
-            concurrency.learn(engine, attempt.work, gap, slots)
+            concurrency.adjust_limit(engine, attempt.work, gap, slots)
 
     def service_seconds(self, work, output_tokens):
         """Return how long ``work`` is expected to run, in seconds."""
-        first = self._pace.usual("first", work.class_name, 0.2)
-        gap = self._pace.usual("gap", work.class_name, 20.0)
+        first = self._latency_baseline.usual("first", work.class_name, 0.2)
+        gap = self._latency_baseline.usual("gap", work.class_name, 20.0)
         return first + gap / 1000.0 * output_tokens
--- a/tests/common/quorum_world.py
+++ b/tests/common/quorum_world.py
@@ -15,8 +15,8 @@
 from dandeliontrail.coordination import messages
 from dandeliontrail.coordination import quorum_log
 from dandeliontrail.coordination import quorum_log_entries as entries
-from dandeliontrail.coordination import quorum_log_neighbours
 from dandeliontrail.coordination import quorum_log_options
+from dandeliontrail.coordination import quorum_log_peers
 from dandeliontrail.coordination import quorum_log_records as records
 from dandeliontrail import effects
 from dandeliontrail.resources import changes
@@ -26,7 +26,7 @@
 STEP = 0.1
 
 
-class FakeNeighbours(quorum_log_neighbours.Neighbours):
+class FakeNeighbours(quorum_log_peers.Neighbours):
     """Uses names as addresses; reachable nodes count as alive."""
 
     def __init__(self, world, name):
@@ -69,7 +69,7 @@
         self.records = []
         self.cache = []
 
-    def keep(self):
+    def sync_oldest(self):
         """Sync the oldest cached write and return its ticket."""
         effect = self.cache.pop(0)
         if isinstance(effect, effects.ReplaceLog):
@@ -227,7 +227,7 @@
             synced_count = self.rng.randint(0, len(node.disk.cache))
             synced_count *= self.rng.randint(0, 1)
             for _ in range(synced_count):
-                node.disk.keep()
+                node.disk.sync_oldest()
             node.disk.cache = []
         self._drop_unreachable()
 
@@ -345,7 +345,7 @@
                 continue
             if self.rng.random() < self.slow_disk:
                 continue
-            ticket = node.disk.keep()
+            ticket = node.disk.sync_oldest()
             self.run_effects(name, node.log.synced(ticket, self.now))
 
     # -- invariants -------------------------------------------------------
