--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/__init__.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The policy bench: the real decision code against a small engine model."""
+"""Policy bench: the real decision code against a simple engine model."""
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/baselines.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/baselines.py
@@ -1,4 +1,4 @@
-"""What the policy in use is measured against."""
+"""Baseline policies that the adaptive policy is compared with."""
 
 import collections
 
@@ -6,26 +6,26 @@
 from dandeliontrail.decisions import work as work_module
 
 
-class _Immediate(policy.Policy):
-    """Sends all work at once; the engines queue it."""
+class _ImmediatePlacement(policy.Policy):
+    """Places all work at once and leaves the queueing to the engines."""
 
-    # Whether engines are told the priority of a request.
+    # Whether the simulation passes the priority of a request to the engines.
     ranked = True
 
     def __init__(self, rng):
         self.rng = rng
-        self.own = collections.Counter()
+        self.outstanding = collections.Counter()
         self._queue = collections.deque()
         self._running = {}
 
     def offer(self, work, now):
-        """Take all work."""
+        """Accept all work."""
         self._queue.append(work)
         return work
 
     def next(self, now, directory):
-        """Place all that waits, but for what no server can take."""
-        decided = []
+        """Place all waiting work that some server can take."""
+        placements = []
         for _ in range(len(self._queue)):
             work = self._queue.popleft()
             servers = [
@@ -40,30 +40,30 @@
                 self._queue.append(work)
                 continue
             name = self.choose(servers).announcement.backend_server
-            self.own[name] += 1
+            self.outstanding[name] += 1
             self._running[work.request_id] = name
-            decided.append(work_module.Placement(work, name))
-        return decided
+            placements.append(work_module.Placement(work, name))
+        return placements
 
     def choose(self, servers):
-        """Return one of the servers."""
+        """Return the server to place work on."""
         raise NotImplementedError
 
     def first_output(self, request_id, now):
-        """Learn nothing."""
+        """Do nothing: these policies do not use latencies."""
 
     def ended(self, ended, now):
-        """Count the server as less busy."""
+        """Count one request less as outstanding at its server."""
         name = self._running.pop(ended.request_id, None)
         if name is not None:
-            self.own[name] -= 1
+            self.outstanding[name] -= 1
 
     def requeue(self, work, now):
-        """Put the work at the front."""
+        """Put the work at the front of the queue."""
         self._queue.appendleft(work)
 
     def withdraw(self, request_id):
-        """Take the work out of the queue."""
+        """Remove the work from the queue and return it, if it is there."""
         for work in self._queue:
             if work.request_id == request_id:
                 self._queue.remove(work)
@@ -71,39 +71,39 @@
         return None
 
     def waiting(self):
-        """Count the queued work by class."""
+        """Return the number of queued requests by class."""
         return collections.Counter(item.class_name for item in self._queue)
 
 
-class FifoRoundRobin(_Immediate):
-    """First come, first served; the servers take turns."""
+class FifoRoundRobin(_ImmediatePlacement):
+    """First come, first served, with servers in round-robin order."""
 
     ranked = False
 
     def __init__(self, rng):
         super().__init__(rng)
-        self._turn = rng.randrange(1000)
+        self._next_index = rng.randrange(1000)
 
     def choose(self, servers):
         """Return the next server in turn."""
-        self._turn += 1
-        return servers[self._turn % len(servers)]
+        self._next_index += 1
+        return servers[self._next_index % len(servers)]
 
 
-class PowerOfTwo(_Immediate):
-    """The less loaded of two servers drawn by lot; engines rank the work.
+class PowerOfTwo(_ImmediatePlacement):
+    """Power of two choices: the less loaded of two random servers.
 
-    The load is this instance's outstanding work or the last report,
-    whichever is more.
+    Engines order their queues by priority.  The load of a server is what it
+    last reported as running and waiting plus this instance's outstanding work.
     """
 
     def choose(self, servers):
-        """Return the better of two."""
+        """Return the less loaded of two random servers."""
         if len(servers) == 1:
             return servers[0]
         return min(self.rng.sample(servers, 2), key=self._load)
 
     def _load(self, server):
         load = server.announcement.load
-        own = self.own[server.announcement.backend_server]
-        return load.running + load.waiting + own
+        outstanding_here = self.outstanding[server.announcement.backend_server]
+        return load.running + load.waiting + outstanding_here
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/command.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/command.py
@@ -1,4 +1,4 @@
-"""``dandelionctl lab policy``."""
+"""The command ``dandelionctl lab policy``."""
 
 import dataclasses
 import pathlib
@@ -15,7 +15,7 @@
 
 ALL = "all"
 BASELINES = "baselines"
-BAD_USAGE = 2
+EXIT_BAD_USAGE = 2
 
 
 def policy(
@@ -28,7 +28,7 @@
     output: str = "table",
     plot_folder: pathlib.Path | None = None,
 ):
-    """Measure policies against scenarios in virtual time.
+    """Compare policies over scenarios in a simulation.
 
     Example: dandelionctl lab policy --scenario overload-1.3 --policy
     adaptive --seed 1
@@ -38,52 +38,54 @@
     scenario
         The name of a scenario, or "all"; may be given more than once.
     policy
-        A policy ("adaptive", "fifo", "priority", "two-choices",
-        "without-" and a mechanism), "baselines" for the four whole ones, or
-        "all"; may be given more than once.
+        A policy ("adaptive", "fifo", "priority", "two-choices", or
+        "without-" and the name of a mechanism to leave out of "adaptive"),
+        "baselines" for the first four, or "all"; may be given more than
+        once.
     seed
-        A seed; may be given more than once.  The ten held seeds by default.
+        A seed; may be given more than once.  The default is the ten fixed
+        benchmark seeds.
     instances
-        How many instances decide side by side.
+        The number of instances, each of which decides on its own.
     processes
-        How many runs go on at once.
+        The number of runs to simulate in parallel.
     output
         "table", "markdown" or "json".
     plot_folder
-        Where to write plots, if given.
+        The folder to write plots to; none are written by default.
     """
-    wanted = [
-        runs.Run(name, chosen, number, instances)
-        for name in _scenarios(scenario)
-        for chosen in _policies(policy)
-        for number in seed or runs.HELD_SEEDS
+    selected_runs = [
+        runs.Run(name, policy_name, number, instances)
+        for name in _select_scenarios(scenario)
+        for policy_name in _select_policies(policy)
+        for number in seed or runs.BENCHMARK_SEEDS
     ]
-    rows = report.rows(runs.measure_all(wanted, processes))
+    rows = report.rows(runs.measure_all(selected_runs, processes))
     _show(rows, output)
     if plot_folder is not None:
         plots.save(rows, plot_folder)
 
 
-def _scenarios(names):
+def _select_scenarios(names):
     if ALL in names:
         return list(scenarios.SCENARIOS)
-    return _known(names, list(scenarios.SCENARIOS))
+    return _check_names(names, list(scenarios.SCENARIOS))
 
 
-def _policies(names):
+def _select_policies(names):
     if ALL in names:
         return runs.policies()
     if BASELINES in names:
         return [*runs.BASELINES, runs.OURS]
-    return _known(names, runs.policies())
+    return _check_names(names, runs.policies())
 
 
-def _known(names, known):
+def _check_names(names, known_names):
     for name in names:
-        if name not in known:
-            allowed = ", ".join([*known, ALL])
+        if name not in known_names:
+            allowed = ", ".join([*known_names, ALL])
             print(f"{name}: use one of {allowed}", file=sys.stderr)
-            raise SystemExit(BAD_USAGE)
+            raise SystemExit(EXIT_BAD_USAGE)
     return list(names)
 
 
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/engine_model.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/engine_model.py
@@ -1,21 +1,21 @@
-"""A model engine in virtual time.
+"""A model engine with continuous batching, in virtual time.
 
-It batches continuously: each step yields one token for each stream that
-decodes and works off a chunk of the prompts of those that do not yet.  Its
-constants are worked out for an 8B model in 8-bit weights on one 48 GB
-accelerator with 864 GB/s and an effective 150 TFLOP/s, not fitted to any
-policy:
+Each step yields one token for each decoding stream and processes one chunk of
+the prompts that are still in prefill.  The constants are derived for an 8B
+model with 8-bit weights on one 48 GB accelerator with 864 GB/s of memory
+bandwidth and an effective 150 TFLOP/s; they are not fitted to any policy:
 
-- ``base``: reading 8 GB of weights takes 9.3 ms, the launch of a step under
+- ``base``: reading 8 GB of weights takes 9.3 ms and launching a step less than
   a millisecond;
-- ``per_stream``: 16 GFLOP for each token at 150 TFLOP/s;
-- ``per_context``: 64 kB of keys and values read for each token of context;
-- ``prefill``: 16 GFLOP for each prompt token;
-- ``kv_tokens``: 120,000, of the 560,000 that fit, since adapters and the
-  prefix cache want their part.
-
-Between two changes of the batch all steps are taken in one go, in closed
-form, so that a run costs time by requests and not by tokens.
+- ``per_stream``: 16 GFLOP per token at 150 TFLOP/s;
+- ``per_context``: 64 kB of keys and values are read per token of context;
+- ``prefill``: 16 GFLOP per prompt token;
+- ``kv_tokens``: 120,000 of the 560,000 that would fit, because adapters and
+  the prefix cache need memory too.
+
+All steps between two changes of the batch are computed at once, in closed
+form, so the run time of a simulation grows with the number of requests and not
+with the number of tokens.
 """
 
 import bisect
@@ -25,8 +25,15 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Pace:
-    """Constants of an engine, in seconds; ``chunk`` in tokens a step."""
+class EngineParameters:
+    """Speed and capacity of an engine.
+
+    Times are in seconds: ``base`` per step, ``per_stream`` per decoding stream
+    and step, ``per_context`` per token of context and step, ``prefill`` per
+    prompt token.  ``chunk`` is the number of prompt tokens processed per step.
+    ``kv_tokens`` and ``cache_tokens`` are the sizes of the key-value memory
+    and of the prefix cache.
+    """
 
     base: float = 0.010
     per_stream: float = 0.00011
@@ -40,22 +47,22 @@
 
 @dataclasses.dataclass(slots=True)
 class Stream:
-    """One attempt inside an engine."""
+    """One attempt of a request as an engine runs it."""
 
-    attempt: str
+    attempt_id: str
     priority: int
     prompt: int
     output: int
     prefix: str = ""
     prefix_tokens: int = 0
-    left_to_fill: int = 0
-    tokens: int = 0
-    first: float = 0.0
+    prefill_remaining: int = 0
+    generated_tokens: int = 0
+    first_token_at: float = 0.0
 
 
 @dataclasses.dataclass(slots=True)
-class Happened:
-    """What came out of an engine: ``first`` output or ``end``."""
+class EngineEvent:
+    """An event of a stream; ``kind`` is ``first`` (token) or ``end``."""
 
     when: float
     kind: str
@@ -63,224 +70,248 @@
 
 
 class EngineModel:
-    """One engine; :meth:`advance` is to be called at each of its bounds."""
+    """One engine.
+
+    The caller must call :meth:`advance` at each time that
+    :meth:`next_change_time` returns.
+    """
 
-    def __init__(self, name, domain, pace=None, slow=1.0):
+    def __init__(self, name, failure_domain, parameters=None, slowdown=1.0):
         self.name = name
-        self.domain = domain
-        self.pace = pace or Pace()
-        self.slow = slow
+        self.failure_domain = failure_domain
+        self.parameters = parameters or EngineParameters()
+        self.slowdown = slowdown
         self.running = []
         self.waiting = []
         self.generated = 0
         self.recomputed = 0
         self.crashed = False
         self._cache = collections.OrderedDict()
-        self._cached = 0
-        self._start = None
-        self._bound = None
-        self._steps = 0
-        self._order = 0
+        self._cached_tokens = 0
+        self._plan_started_at = None
+        self._next_change_time = None
+        self._planned_steps = 0
+        self._submit_order = 0
 
     def submit(self, stream, now):
-        """Queue a stream by priority."""
-        self._order += 1
-        entry = (stream.priority, self._order, stream)
+        """Queue a stream by priority, then by order of arrival."""
+        self._submit_order += 1
+        entry = (stream.priority, self._submit_order, stream)
         bisect.insort(self.waiting, entry)
-        if self._start is None:
+        if self._plan_started_at is None:
             self._plan(now)
-        elif len(self.running) < self.pace.slots:
-            self._cut_short(now)
+        elif len(self.running) < self.parameters.slots:
+            self._shorten_plan(now)
 
-    def cancel(self, attempt, now):
-        """Drop a stream; return the tokens it had made."""
+    def cancel(self, attempt_id, now):
+        """Remove a stream and return the tokens it had generated."""
         for entry in self.waiting:
-            if entry[2].attempt == attempt:
+            if entry[2].attempt_id == attempt_id:
                 self.waiting.remove(entry)
-                return entry[2].tokens
+                return entry[2].generated_tokens
         for stream in self.running:
-            if stream.attempt == attempt:
+            if stream.attempt_id == attempt_id:
                 self.running.remove(stream)
-                return stream.tokens
+                return stream.generated_tokens
         return 0
 
     def crash(self):
-        """Lose all; return the streams that were lost."""
+        """Drop all streams and return them."""
         lost = self.running + [entry[2] for entry in self.waiting]
         self.running = []
         self.waiting = []
         self.crashed = True
-        self._start = None
-        self._bound = None
+        self._plan_started_at = None
+        self._next_change_time = None
         return lost
 
-    def next_bound(self):
-        """Return when the batch changes next, or ``None`` when idle."""
-        return self._bound
+    def next_change_time(self):
+        """Return when the batch next changes, or ``None`` when idle."""
+        return self._next_change_time
 
     def kv_used(self):
-        """Return the tokens held by running streams."""
+        """Return the tokens of key-value memory that streams occupy."""
         return sum(
-            item.prompt - item.left_to_fill + item.tokens
+            item.prompt - item.prefill_remaining + item.generated_tokens
             for item in self.running
         )
 
     def advance(self, now):
-        """Take the planned steps, which end now; return what happened."""
-        steps = self._steps
-        out = []
-        self.running, ready = [], self.running
-        filled = self._fill(ready)
-        for stream in ready:
-            self._step(stream, steps, now, filled, out)
+        """Run the planned steps, which end ``now``; return their events."""
+        steps = self._planned_steps
+        events = []
+        self.running, batch = [], self.running
+        prefilled = self._process_prefill(batch)
+        for stream in batch:
+            self._advance_stream(stream, steps, now, prefilled, events)
         self._plan(now)
-        return out
+        return events
 
-    def _step(self, stream, steps, now, filled, out):
-        if stream.left_to_fill > 0:
+    def _advance_stream(self, stream, steps, now, prefilled, events):
+        if stream.prefill_remaining > 0:
             self.running.append(stream)
             return
-        # The step that ends the prefill yields the first token.
-        made = 1 if stream.attempt in filled else steps
-        made = min(made, stream.output - stream.tokens)
-        if stream.first == 0.0:
-            stream.first = now
-            out.append(Happened(now, "first", stream))
-        stream.tokens += made
-        self.generated += made
-        if stream.tokens >= stream.output:
-            out.append(Happened(now, "end", stream))
+        # The step that completes the prefill also yields the first token.
+        new_tokens = 1 if stream.attempt_id in prefilled else steps
+        new_tokens = min(new_tokens, stream.output - stream.generated_tokens)
+        if stream.first_token_at == 0.0:
+            stream.first_token_at = now
+            events.append(EngineEvent(now, "first", stream))
+        stream.generated_tokens += new_tokens
+        self.generated += new_tokens
+        if stream.generated_tokens >= stream.output:
+            events.append(EngineEvent(now, "end", stream))
         else:
             self.running.append(stream)
 
-    def _fill(self, streams):
-        budget = self.pace.chunk
-        filled = set()
-        # Engines that honour priorities do so for the prompts too.
+    def _process_prefill(self, streams):
+        budget = self.parameters.chunk
+        prefilled = set()
+        # An engine that honours priorities also applies them to prefill.
         for stream in sorted(streams, key=_priority):
-            if stream.left_to_fill <= 0 or budget <= 0:
+            if stream.prefill_remaining <= 0 or budget <= 0:
                 continue
-            part = min(budget, stream.left_to_fill)
-            stream.left_to_fill -= part
-            budget -= part
-            if stream.left_to_fill == 0:
-                filled.add(stream.attempt)
-                self._store(stream)
-        return filled
-
-    def _store(self, stream):
+            chunk_tokens = min(budget, stream.prefill_remaining)
+            stream.prefill_remaining -= chunk_tokens
+            budget -= chunk_tokens
+            if stream.prefill_remaining == 0:
+                prefilled.add(stream.attempt_id)
+                self._cache_prefix(stream)
+        return prefilled
+
+    def _cache_prefix(self, stream):
         if not stream.prefix:
             return
         if stream.prefix in self._cache:
             self._cache.move_to_end(stream.prefix)
             return
         self._cache[stream.prefix] = stream.prefix_tokens
-        self._cached += stream.prefix_tokens
-        while self._cached > self.pace.cache_tokens:
-            _, gone = self._cache.popitem(last=False)
-            self._cached -= gone
+        self._cached_tokens += stream.prefix_tokens
+        while self._cached_tokens > self.parameters.cache_tokens:
+            _, evicted_tokens = self._cache.popitem(last=False)
+            self._cached_tokens -= evicted_tokens
 
     def _admit(self):
-        used = self.kv_used()
-        while self.waiting and len(self.running) < self.pace.slots:
+        used_tokens = self.kv_used()
+        while self.waiting and len(self.running) < self.parameters.slots:
             stream = self.waiting[0][2]
-            need = stream.prompt + stream.tokens
-            if self.running and used + need > self.pace.kv_tokens:
+            needed_tokens = stream.prompt + stream.generated_tokens
+            if (
+                self.running
+                and used_tokens + needed_tokens > self.parameters.kv_tokens
+            ):
                 return
             self.waiting.pop(0)
-            held = 0
+            cached_tokens = 0
             if stream.prefix in self._cache:
-                held = stream.prefix_tokens
+                cached_tokens = stream.prefix_tokens
                 self._cache.move_to_end(stream.prefix)
-            # At least the last prompt token is computed.
-            stream.left_to_fill = max(1, need - held)
-            used += need
+            # The last prompt token is always computed, even on a full prefix
+            # hit.
+            stream.prefill_remaining = max(1, needed_tokens - cached_tokens)
+            used_tokens += needed_tokens
             self.running.append(stream)
 
     def _preempt(self):
-        """Put the last stream of the lowest priority back, to start over.
+        """Preempt streams until the next step fits into the memory.
 
-        Its tokens so far are computed a second time, as engines do that
-        run out of memory.
+        The victim is the most recently admitted stream of the lowest priority.
+        It starts over, and its tokens so far are computed a second time, as in
+        engines that run out of key-value memory.
         """
         while len(self.running) > 1:
-            if self.kv_used() + len(self.running) <= self.pace.kv_tokens:
+            if self.kv_used() + len(self.running) <= self.parameters.kv_tokens:
                 return
-            worst = max(self.running, key=lambda item: item.priority)
+            victim = max(self.running, key=lambda item: item.priority)
             for stream in self.running:
-                if stream.priority == worst.priority:
-                    worst = stream
-            self.running.remove(worst)
-            self.recomputed += worst.prompt + worst.tokens
-            self._order += 1
-            entry = (worst.priority, -self._order, worst)
+                if stream.priority == victim.priority:
+                    victim = stream
+            self.running.remove(victim)
+            self.recomputed += victim.prompt + victim.generated_tokens
+            self._submit_order += 1
+            entry = (victim.priority, -self._submit_order, victim)
             bisect.insort(self.waiting, entry)
 
     def _plan(self, now):
         self._preempt()
         self._admit()
         if not self.running:
-            self._start = None
-            self._bound = None
+            self._plan_started_at = None
+            self._next_change_time = None
             return
-        self._start = now
-        self._steps = self._steps_to_change()
-        self._bound = now + self._duration(self._steps)
+        self._plan_started_at = now
+        self._planned_steps = self._steps_to_change()
+        self._next_change_time = now + self._duration(self._planned_steps)
 
     def _steps_to_change(self):
-        if any(item.left_to_fill > 0 for item in self.running):
+        if any(item.prefill_remaining > 0 for item in self.running):
             return 1
-        steps = min(item.output - item.tokens for item in self.running)
-        room = self.pace.kv_tokens - self.kv_used()
-        return max(1, min(steps, room // len(self.running)))
-
-    def _cost(self):
-        """Return the time of the first step and its growth by step."""
-        pace = self.pace
-        decoding = [item for item in self.running if item.left_to_fill <= 0]
-        filling = sum(
-            item.left_to_fill for item in self.running if item.left_to_fill > 0
+        steps = min(
+            item.output - item.generated_tokens for item in self.running
         )
-        context = sum(item.prompt + item.tokens for item in decoding)
-        first = (
-            pace.base
-            + pace.per_stream * len(decoding)
-            + pace.per_context * context
-            + pace.prefill * min(filling, pace.chunk)
+        free_tokens = self.parameters.kv_tokens - self.kv_used()
+        return max(1, min(steps, free_tokens // len(self.running)))
+
+    def _step_cost(self):
+        """Return the seconds of the first step and the growth per step."""
+        parameters = self.parameters
+        decoding = [
+            item for item in self.running if item.prefill_remaining <= 0
+        ]
+        prefill_tokens = sum(
+            item.prefill_remaining
+            for item in self.running
+            if item.prefill_remaining > 0
+        )
+        context = sum(item.prompt + item.generated_tokens for item in decoding)
+        first_step = (
+            parameters.base
+            + parameters.per_stream * len(decoding)
+            + parameters.per_context * context
+            + parameters.prefill * min(prefill_tokens, parameters.chunk)
         )
-        return first * self.slow, pace.per_context * len(decoding) * self.slow
+        return first_step * self.slowdown, parameters.per_context * len(
+            decoding
+        ) * self.slowdown
 
     def _duration(self, steps):
-        first, growth = self._cost()
-        return steps * first + growth * steps * (steps - 1) / 2.0
+        first_step, growth_per_step = self._step_cost()
+        return steps * first_step + growth_per_step * steps * (steps - 1) / 2.0
 
-    def _cut_short(self, now):
-        """End the plan with the present step, to admit a new stream."""
-        if self._steps <= 1:
+    def _shorten_plan(self, now):
+        """End the plan after the current step, to admit a new stream."""
+        if self._planned_steps <= 1:
             return
-        first, growth = self._cost()
-        passed = max(0.0, now - self._start)
-        linear = first - growth / 2.0
-        if growth > 0.0:
-            root = math.sqrt(linear * linear + 2.0 * growth * passed)
-            steps = math.ceil((root - linear) / growth)
+        first_step, growth_per_step = self._step_cost()
+        passed = max(0.0, now - self._plan_started_at)
+        linear = first_step - growth_per_step / 2.0
+        if growth_per_step > 0.0:
+            root = math.sqrt(linear * linear + 2.0 * growth_per_step * passed)
+            steps = math.ceil((root - linear) / growth_per_step)
         else:
-            steps = math.ceil(passed / first)
-        self._steps = max(1, min(self._steps, steps))
-        self._bound = self._start + self._duration(self._steps)
+            steps = math.ceil(passed / first_step)
+        self._planned_steps = max(1, min(self._planned_steps, steps))
+        self._next_change_time = self._plan_started_at + self._duration(
+            self._planned_steps
+        )
 
 
 def _priority(stream):
     return stream.priority
 
 
-def ideal_cost(pace, prompt, output, prefix_tokens, slow=1.0):
+def ideal_cost(parameters, prompt, output, prefix_tokens, slowdown=1.0):
     """Return the least engine time that a request can take, in seconds.
 
-    All of its prefix held, and every step shared by a full batch.
+    It assumes that the whole prefix is cached and that every step is shared by
+    a full batch.
     """
-    decode = pace.base / pace.slots + pace.per_stream
+    decode = parameters.base / parameters.slots + parameters.per_stream
     context = output * prompt + output * (output - 1) / 2.0
     fill = max(1, prompt - prefix_tokens)
-    cost = output * decode + pace.per_context * context + pace.prefill * fill
-    return cost * slow
+    cost = (
+        output * decode
+        + parameters.per_context * context
+        + parameters.prefill * fill
+    )
+    return cost * slowdown
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/measures.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/measures.py
@@ -1,4 +1,4 @@
-"""What a run is judged by, and the bound that it is held against."""
+"""Measures of a finished run, and the upper bound of its goodput."""
 
 import collections
 import dataclasses
@@ -6,19 +6,23 @@
 
 from . import scenarios
 
-# Minimum shares are looked at over windows of this many seconds.
-WINDOW = 15.0
+# The length of the windows over which minimum shares are checked.
+WINDOW_SECONDS = 15.0
 
 
 @dataclasses.dataclass(slots=True)
 class Measures:
-    """The figures of one run; shares are between 0 and 1.
-
-    ``attainment`` is by class, over all requests that were sent: one that
-    was refused has not attained its target.  ``wait`` is the longest time
-    to the first token by class.  ``jain`` is ``None`` where fewer than two
-    organisations were backlogged; ``least_share`` is the smallest share of
-    a class over its minimum, ``None`` where no class had to wait.
+    """The measures of one run; shares are between 0 and 1.
+
+    ``attainment`` is the share of requests that met their targets, by class.
+    It counts all requests that were sent: a refused request has missed its
+    target.  ``wait`` is the longest time to the first token in seconds, by
+    class.  ``goodput`` is the useful engine time as a share of
+    :func:`fluid_bound`, ``waste`` the share of tokens that were generated in
+    vain or computed again.  ``jain`` is Jain's fairness index, ``None`` unless
+    two or more organisations were backlogged.  ``least_share`` is the smallest
+    ratio of a class's share to its minimum share, ``None`` where no class had
+    to wait.  ``protected`` is the attainment of the protected classes.
     """
 
     attainment: dict
@@ -32,113 +36,122 @@
 
 
 def measure(simulation):
-    """Return the measures of a finished run."""
+    """Return the measures of a finished simulation."""
     results = simulation.results
     bound = fluid_bound(simulation.scenario, results)
     end = simulation.scenario.seconds
-    good = sum(_good_by(end, item) for item in results)
-    made = sum(
+    useful_seconds = sum(_useful_seconds(end, item) for item in results)
+    computed_tokens = sum(
         engine.generated + engine.recomputed for engine in simulation.engines
     )
-    wasted = simulation.wasted + sum(
+    wasted = simulation.wasted_tokens + sum(
         engine.recomputed for engine in simulation.engines
     )
-    judged = [
+    measured = [
         item
         for item in results
-        if item.request.arrives >= scenarios.WARM_SECONDS
+        if item.request.arrives >= scenarios.WARM_UP_SECONDS
     ]
-    protected = [r for r in judged if r.request.shape.protected()]
+    protected = [r for r in measured if r.request.shape.protected()]
     return Measures(
-        _by_class(judged, _attainment),
-        _by_class(judged, _longest_wait),
-        good / bound,
-        wasted / max(1, made),
-        jain(judged),
+        _by_class(measured, _attainment),
+        _by_class(measured, _longest_wait),
+        useful_seconds / bound,
+        wasted / max(1, computed_tokens),
+        jain(measured),
         least_share(simulation),
         dict(collections.Counter(item.outcome for item in results)),
         _attainment(protected),
     )
 
 
-def attained(result):
-    """Tell whether a request was answered whole and within its targets."""
+def meets_targets(result):
+    """Return whether a request completed within all of its targets."""
     if result.outcome != "complete":
         return False
     shape = result.request.shape
     arrives = result.request.arrives
-    if shape.first_token and result.first - arrives > shape.first_token:
+    if (
+        shape.first_token
+        and result.first_token_at - arrives > shape.first_token
+    ):
         return False
-    if shape.between_tokens and _gap(result) > shape.between_tokens:
+    if shape.between_tokens and _mean_token_gap(result) > shape.between_tokens:
         return False
     return not (shape.total and result.ended - arrives > shape.total)
 
 
-def _gap(result):
+def _mean_token_gap(result):
     """Return the mean time between two tokens, in seconds."""
-    return (result.ended - result.first) / max(1, result.request.output - 1)
+    return (result.ended - result.first_token_at) / max(
+        1, result.request.output - 1
+    )
 
 
-def _good_by(end, result):
-    """Return the useful engine time given to a request by ``end``.
+def _useful_seconds(end, result):
+    """Return the useful engine time spent on a request by ``end``.
 
-    Of one that still runs at ``end`` the part counts that is done, as it
-    does in the bound.
+    A request that is still running at ``end`` counts for the part that is
+    done, as it does in the bound.
     """
-    if not attained(result):
+    if not meets_targets(result):
         return 0.0
     if result.ended <= end:
         return result.request.cost
-    done = (end - result.first) / (result.ended - result.first)
-    return result.request.cost * max(0.0, done)
+    done_share = (end - result.first_token_at) / (
+        result.ended - result.first_token_at
+    )
+    return result.request.cost * max(0.0, done_share)
 
 
-def _by_class(results, figure):
+def _by_class(results, statistic):
     grouped = collections.defaultdict(list)
     for item in results:
         grouped[item.request.shape.name].append(item)
-    return {name: figure(items) for name, items in sorted(grouped.items())}
+    return {name: statistic(items) for name, items in sorted(grouped.items())}
 
 
 def _attainment(results):
-    return sum(map(attained, results)) / max(1, len(results))
+    return sum(map(meets_targets, results)) / max(1, len(results))
 
 
 def _longest_wait(results):
     waits = [
-        item.first - item.request.arrives for item in results if item.first
+        item.first_token_at - item.request.arrives
+        for item in results
+        if item.first_token_at
     ]
     return max(waits, default=0.0)
 
 
 def fluid_bound(scenario, results):
-    """Return the most engine time that can be put to good use in time.
+    """Return an upper bound of the useful engine time, in seconds.
 
-    Counted is what is served while the scenario lasts.
+    Only work that is served before the end of the scenario counts.
 
-    Work is taken for a fluid that the engines share without loss: always a
-    full batch, every prefix held, every length known, parts of requests
-    counting.  Whatever is due first is served first, which serves the most
-    in total.  No real schedule reaches it.
+    The bound treats work as a fluid that the engines share without loss:
+    batches are always full, every prefix is cached, every output length is
+    known and parts of requests count.  Work is served earliest deadline first,
+    which maximises the total.  No real schedule reaches the bound.
     """
-    bounds = [item.start for item in scenario.faults]
-    bounds += [item.until for item in scenario.faults]
+    fault_times = [item.start for item in scenario.faults]
+    fault_times += [item.until for item in scenario.faults]
     requests = sorted((r.request for r in results), key=lambda r: r.arrives)
-    last = scenario.seconds
-    moments = sorted(
+    end_of_scenario = scenario.seconds
+    times = sorted(
         {item.arrives for item in requests}
-        | {item for item in bounds if item < last}
-        | {last}
+        | {item for item in fault_times if item < end_of_scenario}
+        | {end_of_scenario}
     )
     waiting = []
     total = 0.0
     position = 0
-    for start, end in zip(moments, moments[1:], strict=False):
+    for start, end in zip(times, times[1:], strict=False):
         while position < len(requests) and (
             requests[position].arrives <= start
         ):
             request = requests[position]
-            entry = (request.due(), request.number, request.cost)
+            entry = (request.deadline(), request.number, request.cost)
             heapq.heappush(waiting, entry)
             position += 1
         total += _serve(waiting, start, end, scenario.capacity(start))
@@ -146,95 +159,97 @@
 
 
 def _serve(waiting, start, end, rate):
-    """Serve the fluid from ``start`` to ``end``; return how much."""
+    """Serve the fluid from ``start`` to ``end``; return the work done."""
     now = start
     served = 0.0
     while waiting and now < end and rate > 0.0:
-        due, number, cost = heapq.heappop(waiting)
-        until = min(due, end, now + cost / rate)
+        deadline, number, cost = heapq.heappop(waiting)
+        until = min(deadline, end, now + cost / rate)
         if until <= now:
             continue
-        part = (until - now) * rate
-        served += part
+        work = (until - now) * rate
+        served += work
         now = until
-        if cost - part > 1e-9 and due > until:
-            heapq.heappush(waiting, (due, number, cost - part))
+        if cost - work > 1e-9 and deadline > until:
+            heapq.heappush(waiting, (deadline, number, cost - work))
     return served
 
 
 def jain(results):
-    """Return Jain's index over organisations, of the worst class.
+    """Return Jain's fairness index over organisations, of the worst class.
 
-    Only classes count of whose demand less than nine tenths was met.  The
-    index is over what each organisation got, as a part of what is fair: the
-    max-min share by weight of all that the class got (Jain, Chiu and Hawe,
-    "A Quantitative Measure of Fairness", 1984).
+    Only classes count in which less than nine tenths of the demand was met.
+    The index is taken over the ratio of what each organisation was served to
+    its fair share: the weighted max-min share of all that the class was served
+    (Jain, Chiu and Hawe, "A Quantitative Measure of Fairness", 1984).
     """
     indices = _by_class(results, _jain_of_class).values()
     return min((item for item in indices if item is not None), default=None)
 
 
 def _jain_of_class(results):
-    asked = collections.Counter()
-    got = collections.Counter()
+    demanded = collections.Counter()
+    served = collections.Counter()
     weights = {}
     for item in results:
-        caller = item.request.organisation
-        weights[caller.name] = caller.weight
-        asked[caller.name] += item.request.cost
-        if attained(item):
-            got[caller.name] += item.request.cost
-    total = sum(got.values())
-    if len(asked) < 2 or not total or total > 0.9 * sum(asked.values()):
+        organisation = item.request.organisation
+        weights[organisation.name] = organisation.weight
+        demanded[organisation.name] += item.request.cost
+        if meets_targets(item):
+            served[organisation.name] += item.request.cost
+    total = sum(served.values())
+    if len(demanded) < 2 or not total or total > 0.9 * sum(demanded.values()):
         return None
-    fair = max_min(asked, weights, total)
-    parts = [got[name] / fair[name] for name in asked]
-    return sum(parts) ** 2 / (len(parts) * sum(x * x for x in parts))
+    fair_shares = max_min(demanded, weights, total)
+    ratios = [served[name] / fair_shares[name] for name in demanded]
+    return sum(ratios) ** 2 / (len(ratios) * sum(x * x for x in ratios))
 
 
-def max_min(asked, weights, total):
-    """Return the max-min fair parts of ``total`` by weight.
+def max_min(demanded, weights, total):
+    """Return the weighted max-min fair shares of ``total``.
 
     >>> max_min({"a": 1.0, "b": 9.0}, {"a": 1.0, "b": 1.0}, 4.0)
     {'a': 1.0, 'b': 3.0}
     """
-    fair = {}
-    left = total
-    names = sorted(asked, key=lambda name: asked[name] / weights[name])
-    weight = sum(weights.values())
+    shares = {}
+    remaining = total
+    names = sorted(demanded, key=lambda name: demanded[name] / weights[name])
+    remaining_weight = sum(weights.values())
     for name in names:
-        fair[name] = min(asked[name], left * weights[name] / weight)
-        left -= fair[name]
-        weight -= weights[name]
-    return fair
+        shares[name] = min(
+            demanded[name], remaining * weights[name] / remaining_weight
+        )
+        remaining -= shares[name]
+        remaining_weight -= weights[name]
+    return shares
 
 
 def least_share(simulation):
-    """Return the least that a waiting class got, over its minimum share.
+    """Return the smallest share of a backlogged class over its minimum.
 
-    Only windows count in which some work of the class had waited for long
-    throughout, in an instance or in an engine's own queue.
+    A window counts for a class only if in all of its samples some request of
+    the class had waited for long, in an instance or in an engine's own queue.
     """
-    shapes = {
+    classes = {
         r.request.shape.name: r.request.shape for r in simulation.results
     }
-    placed = collections.defaultdict(collections.Counter)
+    served = collections.defaultdict(collections.Counter)
     for item in simulation.results:
-        if item.first is not None:
-            window = int(item.first / WINDOW)
-            placed[window][item.request.shape.name] += item.request.cost
-    waiting = collections.defaultdict(list)
-    for when, waited in simulation.samples:
-        waiting[int(when / WINDOW)].append(waited)
-    least = None
-    for window, samples in waiting.items():
-        if len(samples) < int(WINDOW):
+        if item.first_token_at is not None:
+            window = int(item.first_token_at / WINDOW_SECONDS)
+            served[window][item.request.shape.name] += item.request.cost
+    samples_by_window = collections.defaultdict(list)
+    for when, backlogged in simulation.backlog_samples:
+        samples_by_window[int(when / WINDOW_SECONDS)].append(backlogged)
+    smallest = None
+    for window, samples in samples_by_window.items():
+        if len(samples) < int(WINDOW_SECONDS):
             continue
-        total = sum(placed[window].values())
-        for name, shape in shapes.items():
-            throughout = all(name in waited for waited in samples)
+        total = sum(served[window].values())
+        for name, shape in classes.items():
+            throughout = all(name in backlogged for backlogged in samples)
             if not throughout or not shape.minimum_share or not total:
                 continue
-            share = placed[window][name] / total / shape.minimum_share
-            least = share if least is None else min(least, share)
-    return least
+            share = served[window][name] / total / shape.minimum_share
+            smallest = share if smallest is None else min(smallest, share)
+    return smallest
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/report.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/report.py
@@ -1,4 +1,4 @@
-"""The measures of many runs as a table."""
+"""Tables of the measures of many runs."""
 
 import collections
 import dataclasses
@@ -7,9 +7,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Row:
-    """Means over the seeds of one scenario and policy.
+    """Means over all seeds of one scenario and policy.
 
-    ``protected_least`` and ``least_share`` are the worst of all seeds.
+    ``protected_least`` and ``least_share`` are the minimum over all seeds,
+    ``wait`` is the maximum.
     """
 
     scenario: str
@@ -39,7 +40,7 @@
 
 
 def rows(measured):
-    """Return one row for each scenario and policy, in order of runs."""
+    """Return one row per scenario and policy, in order of the runs."""
     grouped = collections.defaultdict(list)
     for run, measures in measured:
         grouped[(run.scenario, run.policy)].append(measures)
@@ -70,7 +71,7 @@
 
 
 def cells(row):
-    """Return the texts of a row, in the order of ``COLUMNS``."""
+    """Return the cells of a row as text, in the order of ``COLUMNS``."""
     return (
         row.scenario,
         row.policy,
@@ -78,15 +79,15 @@
         f"{row.protected_least:.4f}",
         f"{row.goodput:.3f}",
         f"{row.waste:.4f}",
-        _number(row.jain),
-        _number(row.least_share),
+        _format_optional(row.jain),
+        _format_optional(row.least_share),
         ", ".join(f"{k} {v:.3f}" for k, v in row.attainment.items()),
         ", ".join(f"{k} {v:.1f}" for k, v in row.wait.items()),
     )
 
 
 def markdown(table):
-    """Return the rows as a table for a page."""
+    """Return the rows as a Markdown table."""
     lines = [
         "| " + " | ".join(COLUMNS) + " |",
         "| " + " | ".join("---" for _ in COLUMNS) + " |",
@@ -95,5 +96,5 @@
     return "\n".join(lines) + "\n"
 
 
-def _number(value):
+def _format_optional(value):
     return "" if value is None else f"{value:.2f}"
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/runs.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/runs.py
@@ -1,11 +1,11 @@
-"""Runs of the bench: one, or many in a few processes."""
+"""Runs of the policy bench: one, or many in parallel processes."""
 
 import dataclasses
 import multiprocessing
 import random
 
 from dandeliontrail.decisions import adaptive
-from dandeliontrail.decisions import baselines as simple
+from dandeliontrail.decisions import baselines as library_baselines
 from dandeliontrail.decisions import options
 from dandeliontrail.decisions import view
 
@@ -15,16 +15,16 @@
 from . import simulation
 
 INSTANCES = 9
-WITHOUT = "without-"
+ABLATION_PREFIX = "without-"
 BASELINES = ("fifo", "priority", "two-choices")
 OURS = "adaptive"
-# Seeds that every change is measured on.
-HELD_SEEDS = tuple(range(1, 11))
+# The fixed seeds on which every change of a policy is measured.
+BENCHMARK_SEEDS = tuple(range(1, 11))
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Run:
-    """What to run."""
+    """A scenario, a policy and a seed to simulate."""
 
     scenario: str
     policy: str
@@ -33,51 +33,62 @@
 
 
 def policies():
-    """Return the names of all policies."""
-    switches = list(options.Options.__struct_fields__)
-    return [*BASELINES, OURS, *(WITHOUT + name for name in switches)]
+    """Return the names of all policies.
+
+    These are the baselines, the adaptive policy and, for each of its
+    mechanisms, the adaptive policy without it.
+    """
+    mechanisms = list(options.Options.__struct_fields__)
+    return [*BASELINES, OURS, *(ABLATION_PREFIX + name for name in mechanisms)]
 
 
 def maker(run):
-    """Return what makes the policy of each instance of a run."""
+    """Return the policy factory of a run.
+
+    It is called with the number of an instance and the count of instances.
+    """
 
     def make(number, instances):
         rng = random.Random(run.seed * 1000 + number)
         if run.policy == "fifo":
             return baselines.FifoRoundRobin(rng)
         if run.policy == "priority":
-            return simple.PriorityLeastOutstanding()
+            return library_baselines.PriorityLeastOutstanding()
         if run.policy == "two-choices":
             return baselines.PowerOfTwo(rng)
-        chosen = options.Options()
-        if run.policy.startswith(WITHOUT):
-            chosen = options.without(run.policy.removeprefix(WITHOUT))
+        mechanisms = options.Options()
+        if run.policy.startswith(ABLATION_PREFIX):
+            mechanisms = options.without(
+                run.policy.removeprefix(ABLATION_PREFIX)
+            )
         return adaptive.Adaptive(
             rng,
             view.FixedView(instances),
             (f"i{number}", f"fd{number % 3}"),
-            chosen,
+            mechanisms,
         )
 
     return make
 
 
 def simulate(run):
-    """Run once and return the finished simulation."""
+    """Simulate a run and return the finished simulation."""
     scenario = scenarios.SCENARIOS[run.scenario]
-    made = simulation.Simulation(scenario, maker(run), run.seed, run.instances)
-    made.run()
-    return made
+    simulated = simulation.Simulation(
+        scenario, maker(run), run.seed, run.instances
+    )
+    simulated.run()
+    return simulated
 
 
 def measure(run):
-    """Run once and return the run with its measures."""
+    """Simulate a run and return it together with its measures."""
     return run, measures.measure(simulate(run))
 
 
-def measure_all(wanted, processes=1):
-    """Measure many runs, in a pool where more than one process is given."""
+def measure_all(runs, processes=1):
+    """Measure many runs, in a process pool if ``processes`` > 1."""
     if processes <= 1:
-        return [measure(run) for run in wanted]
+        return [measure(run) for run in runs]
     with multiprocessing.get_context("spawn").Pool(processes) as pool:
-        return pool.map(measure, wanted, chunksize=1)
+        return pool.map(measure, runs, chunksize=1)
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/scenarios.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/scenarios.py
@@ -1,4 +1,4 @@
-"""What the bench offers, and what goes wrong meanwhile."""
+"""Scenarios of the policy bench: the offered load and the faults."""
 
 import dataclasses
 import random
@@ -6,18 +6,18 @@
 from . import engine_model
 from . import workload
 
-ENGINES = 10
-SECONDS = 120.0
+DEFAULT_ENGINES = 10
+DEFAULT_SECONDS = 120.0
 
-# Every run begins with so many seconds of an ordinary load, so that engines
-# have work and caches when the scenario sets in; requests of this time count
-# for goodput, on both sides of the ratio, but not for attainment.
-WARM_SECONDS = 20.0
-WARM_LOAD = 0.6
+# Each run begins with a warm-up at an ordinary load, so that engines have work
+# and warm caches when the scenario sets in.  Requests of the warm-up count for
+# goodput, on both sides of the ratio, but not for attainment.
+WARM_UP_SECONDS = 20.0
+WARM_UP_LOAD = 0.6
 
-# The parts of the demand by class; lookup and intake are 30 in 100, so that
-# at twice the capacity the protected classes alone need 60 of it.
-MIXED = {
+# Shares of the demand by class.  Lookup and intake together are 30 %, so at
+# twice the capacity the protected classes alone need 60 % of it.
+DEFAULT_MIX = {
     workload.LOOKUP: 0.18,
     workload.INTAKE: 0.12,
     workload.REPLY: 0.15,
@@ -28,107 +28,147 @@
 
 @dataclasses.dataclass(slots=True)
 class Burst:
-    """A class that comes at ``times`` its usual rate for a while."""
+    """A period in which a class arrives at ``rate_factor`` times its rate."""
 
     shape: workload.ClassShape
     start: float
     seconds: float
-    times: float
+    rate_factor: float
 
 
 @dataclasses.dataclass(slots=True)
 class Backlog:
-    """Work worth ``part`` of the whole capacity, sent within seconds."""
+    """Work that arrives within ``seconds``.
+
+    It takes ``capacity_share`` of what all engines can do in the whole
+    scenario.
+    """
 
     shape: workload.ClassShape
     start: float
     seconds: float
-    part: float
+    capacity_share: float
 
 
 @dataclasses.dataclass(slots=True)
 class Fault:
-    """Engine number ``engine`` gets slower or, at ``slow`` 0, crashes."""
+    """A fault of engine number ``engine``.
+
+    The engine takes ``slowdown`` times as long for each step; at 0 it crashes.
+    """
 
     engine: int
     start: float
     until: float
-    slow: float
+    slowdown: float
 
 
 @dataclasses.dataclass(slots=True)
 class Scenario:
-    """Demand as a share of capacity, and the events."""
+    """An offered load, relative to capacity, and what happens meanwhile.
+
+    ``load`` is demand over capacity, ``mix`` the share of each class in it.
+    """
 
     name: str
     load: float
-    mix: dict = dataclasses.field(default_factory=lambda: dict(MIXED))
+    mix: dict = dataclasses.field(default_factory=lambda: dict(DEFAULT_MIX))
     bursts: list = dataclasses.field(default_factory=list)
     backlogs: list = dataclasses.field(default_factory=list)
     faults: list = dataclasses.field(default_factory=list)
-    large_part: float = 0.6
-    prefixes: int = 1
-    prefix_part: float = workload.PREFIX_PART
-    seconds: float = SECONDS
-    engines: int = ENGINES
-    pace: engine_model.Pace = dataclasses.field(
-        default_factory=engine_model.Pace
+    large_share: float = 0.6
+    prefix_count: int = 1
+    prefix_share: float = workload.PREFIX_SHARE
+    seconds: float = DEFAULT_SECONDS
+    engines: int = DEFAULT_ENGINES
+    parameters: engine_model.EngineParameters = dataclasses.field(
+        default_factory=engine_model.EngineParameters
     )
 
     def requests(self, seed):
-        """Return all requests in the order of their arrival."""
+        """Return all requests in order of arrival."""
         rng = random.Random(seed)
-        callers = workload.organisations(part=self.large_part)
-        maker = workload.Maker(
-            rng, callers, self.pace, self.prefixes, self.prefix_part
+        callers = workload.organisations(large_share=self.large_share)
+        generator = workload.RequestGenerator(
+            rng, callers, self.parameters, self.prefix_count, self.prefix_share
         )
-        made = []
-        for shape, part in self.mix.items():
-            rate = self.load * part * self.engines / maker.mean_cost(shape)
-            warm = rate * min(1.0, WARM_LOAD / self.load)
-            self._poisson(rng, maker, shape, warm, 0.0, WARM_SECONDS, made)
+        requests = []
+        for shape, share in self.mix.items():
+            rate = (
+                self.load * share * self.engines / generator.mean_cost(shape)
+            )
+            warm_up_rate = rate * min(1.0, WARM_UP_LOAD / self.load)
+            self._poisson(
+                rng,
+                generator,
+                shape,
+                warm_up_rate,
+                0.0,
+                WARM_UP_SECONDS,
+                requests,
+            )
             self._poisson(
-                rng, maker, shape, rate, WARM_SECONDS, self.seconds, made
+                rng,
+                generator,
+                shape,
+                rate,
+                WARM_UP_SECONDS,
+                self.seconds,
+                requests,
             )
             for burst in self.bursts:
                 if burst.shape is shape:
                     end = burst.start + burst.seconds
-                    extra = rate * (burst.times - 1.0)
+                    extra_rate = rate * (burst.rate_factor - 1.0)
                     self._poisson(
-                        rng, maker, shape, extra, burst.start, end, made
+                        rng,
+                        generator,
+                        shape,
+                        extra_rate,
+                        burst.start,
+                        end,
+                        requests,
                     )
         for backlog in self.backlogs:
-            total = backlog.part * self.engines * self.seconds
-            rate = total / maker.mean_cost(backlog.shape) / backlog.seconds
+            total = backlog.capacity_share * self.engines * self.seconds
+            rate = total / generator.mean_cost(backlog.shape) / backlog.seconds
             end = backlog.start + backlog.seconds
             self._poisson(
-                rng, maker, backlog.shape, rate, backlog.start, end, made
+                rng,
+                generator,
+                backlog.shape,
+                rate,
+                backlog.start,
+                end,
+                requests,
             )
-        made.sort(key=lambda item: item.arrives)
-        for number, request in enumerate(made):
+        requests.sort(key=lambda item: item.arrives)
+        for number, request in enumerate(requests):
             request.number = number
-        return made
+        return requests
 
-    def _poisson(self, rng, maker, shape, rate, start, end, made):
+    def _poisson(self, rng, generator, shape, rate, start, end, requests):
         if rate <= 0.0:
             return
         when = start + rng.expovariate(rate)
         while when < end:
-            made.append(maker.make(shape, when))
+            requests.append(generator.generate(shape, when))
             when += rng.expovariate(rate)
 
     def capacity(self, when):
-        """Return the engines' work per second at a moment."""
+        """Return the engine seconds of work per second at a time."""
         total = float(self.engines)
         for fault in self.faults:
             if fault.start <= when < fault.until:
-                total -= 1.0 - (1.0 / fault.slow if fault.slow else 0.0)
+                total -= 1.0 - (
+                    1.0 / fault.slowdown if fault.slowdown else 0.0
+                )
         return total
 
 
-def _bursts(name, times):
+def _bursts(name, rate_factor):
     bursts = [
-        Burst(workload.LOOKUP, start, 5.0, times)
+        Burst(workload.LOOKUP, start, 5.0, rate_factor)
         for start in (30.0, 60.0, 90.0)
     ]
     return Scenario(name, 0.9, bursts=bursts)
@@ -139,37 +179,37 @@
 
 
 def _long_and_short():
-    tome = dataclasses.replace(
+    long_review = dataclasses.replace(
         workload.REVIEW, name="tome", prompt=6000, output=600
     )
     mix = {
         workload.LOOKUP: 0.25,
         workload.INTAKE: 0.15,
         workload.DRAFT: 0.25,
-        tome: 0.35,
+        long_review: 0.35,
     }
     return Scenario("long-and-short", 1.2, mix=mix)
 
 
 def _too_many_slots():
-    """Return engines that accept more than they can run in time.
+    """Return a scenario whose engines accept too many streams.
 
-    Nothing of the mix is refused or late for lack of capacity: what is
-    missed is missed because a batch of 128 takes too long a step.
+    Nothing in the mix is refused or late for lack of capacity.  Targets are
+    missed only because a step of a batch of 128 takes too long.
     """
     mix = {
-        dataclasses.replace(shape, between_tokens=0.035): part
-        for shape, part in MIXED.items()
+        dataclasses.replace(shape, between_tokens=0.035): share
+        for shape, share in DEFAULT_MIX.items()
     }
-    pace = engine_model.Pace(slots=128, kv_tokens=400_000)
-    return Scenario("too-many-slots", 1.3, mix=mix, pace=pace)
+    parameters = engine_model.EngineParameters(slots=128, kv_tokens=400_000)
+    return Scenario("too-many-slots", 1.3, mix=mix, parameters=parameters)
 
 
-_ALL = [
+_ALL_SCENARIOS = [
     Scenario("steady", 0.6),
     _bursts("burst", 3.0),
     _bursts("hard-burst", 6.0),
-    Scenario("large-organisations", 1.4, large_part=0.9),
+    Scenario("large-organisations", 1.4, large_share=0.9),
     Scenario("slow-engine", 0.8, faults=[Fault(3, 30.0, 1e9, 4.0)]),
     _long_and_short(),
     Scenario(
@@ -185,11 +225,11 @@
         backlogs=[Backlog(workload.SUMMARY, 25.0, 15.0, 0.9)],
     ),
     _too_many_slots(),
-    Scenario("prefixes", 1.2, prefixes=20, prefix_part=0.7),
+    Scenario("prefixes", 1.2, prefix_count=20, prefix_share=0.7),
     _overload(0.7),
     _overload(1.0),
     _overload(1.3),
     _overload(2.0),
 ]
 
-SCENARIOS = {item.name: item for item in _ALL}
+SCENARIOS = {item.name: item for item in _ALL_SCENARIOS}
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/simulation.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/simulation.py
@@ -1,8 +1,9 @@
-"""Several instances that decide alone, and engines, in virtual time.
+"""Discrete-event simulation of instances, engines and callers.
 
-There is no network model: a trip takes a constant time.  What is modelled
-is what decisions suffer from: each instance sees its own work at once and
-all else through reports that are late.
+The simulation runs in virtual time.  The network is not modelled: each message
+takes a constant time.  What is modelled is stale information, which placement
+decisions suffer from: an instance sees its own work immediately and everything
+else only through delayed load reports.
 """
 
 import collections
@@ -15,36 +16,44 @@
 from dandeliontrail.resources import announcements
 
 from . import engine_model
-from . import sides
-
-TRIP = 0.001
-TICK = 0.1
-REPORT_INTERVAL = 1.0
-# A report is measured, sent and passed on to the other instances.
-REPORT_LAG = 0.5
-# As in components.requests.
-MOST_ATTEMPTS = 4
-# A class is backlogged while some request has waited for this long.
-LONG_WAIT = 2.0
-# A run ends at the latest so long after its last arrival.
-LONGEST_DRAIN = 1000.0
+from . import instance_view
+
+NETWORK_DELAY_SECONDS = 0.001
+TICK_SECONDS = 0.1
+REPORT_INTERVAL_SECONDS = 1.0
+# The age of a load report on arrival: an engine measures its load and sends
+# it, and an instance passes it on to the others.
+REPORT_DELAY_SECONDS = 0.5
+# The same limit as in components.requests.
+MAX_ATTEMPTS = 4
+# A class counts as backlogged while one of its requests has waited longer than
+# this for its first token.
+BACKLOG_WAIT_SECONDS = 2.0
+# A run is stopped this long after the end of its arrivals, even if requests
+# are still open.
+MAX_DRAIN_SECONDS = 1000.0
 
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """What became of one request."""
+    """The outcome of one request and the times at which it progressed.
+
+    ``first_token_at`` and ``first_placed_at`` are the times of the first token
+    and of the first placement, ``started_attempts`` counts the attempts that
+    reached a running engine.  Times are in seconds of virtual time.
+    """
 
     request: object
     outcome: str = "open"
-    first: float | None = None
+    first_token_at: float | None = None
     ended: float = 0.0
-    placed: float | None = None
+    first_placed_at: float | None = None
     attempts: int = 0
-    begun: int = 0
+    started_attempts: int = 0
 
 
 class Simulation:
-    """One run of one scenario under one policy."""
+    """One run of a scenario under one policy."""
 
     def __init__(self, scenario, make_policy, seed, instances=9):
         self.scenario = scenario
@@ -52,145 +61,157 @@
         self.now = 0.0
         self.engines = [
             engine_model.EngineModel(
-                f"e{number}", f"fd{number % 3}", scenario.pace
+                f"e{number}", f"fd{number % 3}", scenario.parameters
             )
             for number in range(scenario.engines)
         ]
-        self._by_name = {item.name: item for item in self.engines}
+        self._engines_by_name = {item.name: item for item in self.engines}
         self.instances = [
-            sides.Instance(make_policy(number, instances), sides.Directory())
+            instance_view.Instance(
+                make_policy(number, instances), instance_view.Directory()
+            )
             for number in range(instances)
         ]
-        self._ranked = getattr(self.instances[0].policy, "ranked", True)
+        self._sends_priority = getattr(
+            self.instances[0].policy, "ranked", True
+        )
         self.results = [Result(item) for item in scenario.requests(seed)]
-        self.wasted = 0
-        self.samples = []
-        self._waiting = collections.defaultdict(collections.deque)
-        self._works = {}
-        self._homes = {}
+        self.wasted_tokens = 0
+        self.backlog_samples = []
+        self._unanswered = collections.defaultdict(collections.deque)
+        self._numbers_by_id = {}
+        self._instance_indices = {}
         self._queue = []
-        self._order = itertools.count()
+        self._event_order = itertools.count()
         self._open = len(self.results)
         self._sequence = 0
 
-    def at(self, when, call, *arguments):
-        """Have something happen later."""
-        entry = (when, next(self._order), call, arguments)
+    def schedule(self, when, callback, *arguments):
+        """Schedule ``callback(*arguments)`` at the virtual time ``when``."""
+        entry = (when, next(self._event_order), callback, arguments)
         heapq.heappush(self._queue, entry)
 
     def run(self):
-        """Run until every request has its outcome; return the results."""
+        """Run until every request has an outcome and return the results."""
         for engine in self.engines:
-            self._report(engine)
+            self._send_report(engine)
         for number, result in enumerate(self.results):
-            self.at(result.request.arrives, self._arrive, number)
+            self.schedule(result.request.arrives, self._on_arrival, number)
         for fault in self.scenario.faults:
-            self.at(fault.start, self._begin_fault, fault)
-            if fault.until < LONGEST_DRAIN:
-                self.at(fault.until, self._end_fault, fault)
+            self.schedule(fault.start, self._start_fault, fault)
+            if fault.until < MAX_DRAIN_SECONDS:
+                self.schedule(fault.until, self._end_fault, fault)
         for number in range(len(self.instances)):
-            self.at(TICK * number / len(self.instances), self._tick, number)
-        self.at(1.0, self._sample)
-        end = self.scenario.seconds + LONGEST_DRAIN
+            self.schedule(
+                TICK_SECONDS * number / len(self.instances), self._tick, number
+            )
+        self.schedule(1.0, self._sample_backlog)
+        end = self.scenario.seconds + MAX_DRAIN_SECONDS
         while self._queue and self._open:
-            when, _, call, arguments = heapq.heappop(self._queue)
+            when, _, callback, arguments = heapq.heappop(self._queue)
             if when > end:
                 break
             self.now = when
-            call(*arguments)
+            callback(*arguments)
         return self.results
 
     # Requests
 
-    def _arrive(self, number):
+    def _on_arrival(self, number):
         request = self.results[number].request
-        home = self.rng.randrange(len(self.instances))
-        item = sides.work_of(request)
-        self._works[item.request_id] = number
-        self._homes[number] = home
-        self._waiting[request.shape.name].append(self.results[number])
-        self.at(request.arrives + request.shape.timeout, self._leave, number)
-        if not self.instances[home].policy.offer(item, self.now):
+        instance_index = self.rng.randrange(len(self.instances))
+        item = instance_view.work_of(request)
+        self._numbers_by_id[item.request_id] = number
+        self._instance_indices[number] = instance_index
+        self._unanswered[request.shape.name].append(self.results[number])
+        self.schedule(
+            request.arrives + request.shape.timeout,
+            self._on_caller_timeout,
+            number,
+        )
+        if not self.instances[instance_index].policy.offer(item, self.now):
             self._close(number, "refused")
             return
-        self._decide(home)
+        self._decide(instance_index)
 
-    def _tick(self, home):
-        self._decide(home)
-        self.at(self.now + TICK, self._tick, home)
+    def _tick(self, instance_index):
+        self._decide(instance_index)
+        self.schedule(self.now + TICK_SECONDS, self._tick, instance_index)
 
-    def _decide(self, home):
-        instance = self.instances[home]
+    def _decide(self, instance_index):
+        instance = self.instances[instance_index]
         for item in instance.policy.next(self.now, instance.directory):
-            number = self._works[item.work.request_id]
+            number = self._numbers_by_id[item.work.request_id]
             if self.results[number].outcome != "open":
                 continue
             if isinstance(item, work_module.Placement):
                 self._dispatch(number, item)
             else:
-                begun = self.results[number].begun
-                self._close(number, "failed" if begun else "refused")
+                started_attempts = self.results[number].started_attempts
+                self._close(
+                    number, "failed" if started_attempts else "refused"
+                )
 
     def _dispatch(self, number, placement):
         result = self.results[number]
         result.attempts += 1
-        if result.placed is None:
-            result.placed = self.now
-        engine = self._by_name[placement.server]
-        self.at(
-            self.now + TRIP,
-            self._reach,
+        if result.first_placed_at is None:
+            result.first_placed_at = self.now
+        engine = self._engines_by_name[placement.server]
+        self.schedule(
+            self.now + NETWORK_DELAY_SECONDS,
+            self._on_engine_received,
             number,
             result.attempts,
             placement.work,
             engine,
         )
 
-    def _reach(self, number, attempt, item, engine):
+    def _on_engine_received(self, number, attempt, item, engine):
         result = self.results[number]
         if result.outcome != "open":
             return
         if engine.crashed:
-            self._not_begun(number, item, engine)
+            self._on_attempt_rejected(number, item, engine)
             return
-        result.begun += 1
+        result.started_attempts += 1
         request = result.request
         stream = engine_model.Stream(
             f"{number}/{attempt}",
-            item.priority if self._ranked else 0,
+            item.priority if self._sends_priority else 0,
             request.prompt,
             request.output,
             request.prefix,
             request.prefix_tokens,
         )
-        before = engine.next_bound()
+        previous_change_time = engine.next_change_time()
         engine.submit(stream, self.now)
-        self._schedule(engine, before)
+        self._schedule_batch_change(engine, previous_change_time)
 
-    def _not_begun(self, number, item, engine):
-        policy = self.instances[self._homes[number]].policy
+    def _on_attempt_rejected(self, number, item, engine):
+        policy = self.instances[self._instance_indices[number]].policy
         policy.ended(
             work_module.Ended(item.request_id, engine.name, failed=True),
             self.now,
         )
         item.avoid.add(engine.name)
-        self._again(number, item)
+        self._requeue_or_fail(number, item)
 
-    def _again(self, number, item):
-        home = self._homes[number]
-        if self.results[number].attempts >= MOST_ATTEMPTS:
+    def _requeue_or_fail(self, number, item):
+        instance_index = self._instance_indices[number]
+        if self.results[number].attempts >= MAX_ATTEMPTS:
             self._close(number, "failed")
         else:
-            self.instances[home].policy.requeue(item, self.now)
-        self._decide(home)
+            self.instances[instance_index].policy.requeue(item, self.now)
+        self._decide(instance_index)
 
-    def _leave(self, number):
-        """Have the caller give up, as its timeout has passed."""
+    def _on_caller_timeout(self, number):
+        """Handle the caller's timeout: cancel the request everywhere."""
         result = self.results[number]
         if result.outcome != "open":
             return
-        home = self._homes[number]
-        policy = self.instances[home].policy
+        instance_index = self._instance_indices[number]
+        policy = self.instances[instance_index].policy
         request_id = str(number)
         self._close(number, "late")
         if policy.withdraw(request_id) is None and result.attempts:
@@ -199,8 +220,8 @@
             )
             name = f"{number}/{result.attempts}"
             for engine in self.engines:
-                self.wasted += engine.cancel(name, self.now)
-        self._decide(home)
+                self.wasted_tokens += engine.cancel(name, self.now)
+        self._decide(instance_index)
 
     def _close(self, number, outcome):
         result = self.results[number]
@@ -210,35 +231,42 @@
 
     # Engines
 
-    def _schedule(self, engine, before):
-        bound = engine.next_bound()
-        if bound is not None and bound != before:
-            self.at(bound, self._bound, engine, bound)
+    def _schedule_batch_change(self, engine, previous_change_time):
+        change_time = engine.next_change_time()
+        if change_time is not None and change_time != previous_change_time:
+            self.schedule(
+                change_time, self._on_batch_change, engine, change_time
+            )
 
-    def _bound(self, engine, bound):
-        if engine.next_bound() != bound:
+    def _on_batch_change(self, engine, change_time):
+        if engine.next_change_time() != change_time:
             return
-        for happened in engine.advance(self.now):
-            self.at(self.now + TRIP, self._hear, engine, happened)
-        self._schedule(engine, None)
+        for event in engine.advance(self.now):
+            self.schedule(
+                self.now + NETWORK_DELAY_SECONDS,
+                self._on_engine_event,
+                engine,
+                event,
+            )
+        self._schedule_batch_change(engine, None)
 
-    def _hear(self, engine, happened):
-        stream = happened.stream
-        number, attempt = map(int, stream.attempt.split("/"))
+    def _on_engine_event(self, engine, event):
+        stream = event.stream
+        number, attempt = map(int, stream.attempt_id.split("/"))
         result = self.results[number]
         if result.outcome != "open" or result.attempts != attempt:
             return
-        home = self._homes[number]
-        policy = self.instances[home].policy
-        if happened.kind == "first":
-            if result.first is None:
-                result.first = self.now
+        instance_index = self._instance_indices[number]
+        policy = self.instances[instance_index].policy
+        if event.kind == "first":
+            if result.first_token_at is None:
+                result.first_token_at = self.now
             policy.first_output(str(number), self.now)
             return
         self._close(number, "complete")
         gaps = []
         if stream.output > 1:
-            spent = (happened.when - stream.first) * 1000.0
+            spent = (event.when - stream.first_token_at) * 1000.0
             gaps = [spent / (stream.output - 1)]
         policy.ended(
             work_module.Ended(
@@ -246,46 +274,53 @@
             ),
             self.now,
         )
-        self._decide(home)
+        self._decide(instance_index)
 
-    def _begin_fault(self, fault):
+    def _start_fault(self, fault):
         engine = self.engines[fault.engine]
-        if fault.slow:
-            engine.slow = fault.slow
+        if fault.slowdown:
+            engine.slowdown = fault.slowdown
             return
         for stream in engine.crash():
-            self.at(self.now + TRIP, self._lost, engine, stream)
+            self.schedule(
+                self.now + NETWORK_DELAY_SECONDS,
+                self._on_stream_lost,
+                engine,
+                stream,
+            )
 
     def _end_fault(self, fault):
         engine = self.engines[fault.engine]
-        engine.slow = 1.0
+        engine.slowdown = 1.0
         engine.crashed = False
 
-    def _lost(self, engine, stream):
-        number = int(stream.attempt.split("/")[0])
+    def _on_stream_lost(self, engine, stream):
+        number = int(stream.attempt_id.split("/")[0])
         result = self.results[number]
         if result.outcome != "open":
             return
-        self.wasted += stream.tokens
-        home = self._homes[number]
-        policy = self.instances[home].policy
+        self.wasted_tokens += stream.generated_tokens
+        instance_index = self._instance_indices[number]
+        policy = self.instances[instance_index].policy
         policy.ended(
             work_module.Ended(str(number), engine.name, failed=True),
             self.now,
         )
-        item = sides.work_of(result.request)
+        item = instance_view.work_of(result.request)
         item.avoid.add(engine.name)
-        repeats = result.request.shape.repeatable and not stream.tokens
-        if repeats and result.attempts < MOST_ATTEMPTS:
+        repeats = (
+            result.request.shape.repeatable and not stream.generated_tokens
+        )
+        if repeats and result.attempts < MAX_ATTEMPTS:
             if policy.retry(item, self.now):
-                self._decide(home)
+                self._decide(instance_index)
                 return
         self._close(number, "failed")
-        self._decide(home)
+        self._decide(instance_index)
 
     # Reports
 
-    def _report(self, engine):
+    def _send_report(self, engine):
         number = self.engines.index(engine)
         if not engine.crashed:
             self._sequence += 1
@@ -295,37 +330,44 @@
                 self._sequence,
                 "model_engine",
                 "",
-                engine.domain,
-                slots=engine.pace.slots,
-                kv_tokens=engine.pace.kv_tokens,
+                engine.failure_domain,
+                slots=engine.parameters.slots,
+                kv_tokens=engine.parameters.kv_tokens,
             )
             announcement.load = announcements.Load(
                 len(engine.running),
                 len(engine.waiting),
                 engine.kv_used(),
-                REPORT_LAG * 1000.0,
+                REPORT_DELAY_SECONDS * 1000.0,
+            )
+            delay = REPORT_DELAY_SECONDS if self.now else 0.0
+            self.schedule(
+                self.now + delay, self._on_report_received, announcement
             )
-            lag = REPORT_LAG if self.now else 0.0
-            self.at(self.now + lag, self._heard, announcement)
-        offset = REPORT_INTERVAL * (1 + number / len(self.engines))
-        wait = REPORT_INTERVAL if self.now else offset
-        self.at(self.now + wait, self._report, engine)
+        offset = REPORT_INTERVAL_SECONDS * (1 + number / len(self.engines))
+        wait = REPORT_INTERVAL_SECONDS if self.now else offset
+        self.schedule(self.now + wait, self._send_report, engine)
 
-    def _heard(self, announcement):
+    def _on_report_received(self, announcement):
         for instance in self.instances:
-            held = instance.directory.learn(announcement, self.now, 3.0)
-            instance.policy.observe(held, self.now)
+            server_record = instance.directory.learn(
+                announcement, self.now, 3.0
+            )
+            instance.policy.observe(server_record, self.now)
 
-    def _sample(self):
-        waited = set()
-        for name, queue in self._waiting.items():
+    def _sample_backlog(self):
+        backlogged_classes = set()
+        for name, queue in self._unanswered.items():
             while queue and _answered(queue[0]):
                 queue.popleft()
-            if queue and self.now - queue[0].request.arrives > LONG_WAIT:
-                waited.add(name)
-        self.samples.append((self.now, waited))
-        self.at(self.now + 1.0, self._sample)
+            if (
+                queue
+                and self.now - queue[0].request.arrives > BACKLOG_WAIT_SECONDS
+            ):
+                backlogged_classes.add(name)
+        self.backlog_samples.append((self.now, backlogged_classes))
+        self.schedule(self.now + 1.0, self._sample_backlog)
 
 
 def _answered(result):
-    return result.first is not None or result.outcome != "open"
+    return result.first_token_at is not None or result.outcome != "open"
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/workload.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/workload.py
@@ -1,21 +1,21 @@
-"""Classes, organisations and requests of the bench."""
+"""Request classes, organisations and requests of the policy bench."""
 
 import dataclasses
 import math
 
 from . import engine_model
 
-# The spread of lengths: with this sigma of a lognormal the longest in
-# twenty is about three times the median, as in published traces.
+# Lengths are lognormal.  With this sigma, one length in twenty is more than
+# about three times the median, as in published traces.
 LENGTH_SIGMA = 0.6
-PREFIX_PART = 0.4
+PREFIX_SHARE = 0.4
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class ClassShape:
-    """A request class and the requests that it gets.
+    """A request class and the distribution of its requests.
 
-    Times are in seconds, ``prompt`` and ``output`` medians in tokens.
+    Times are in seconds; ``prompt`` and ``output`` are medians in tokens.
     """
 
     name: str
@@ -31,22 +31,22 @@
     minimum_share: float = 0.0
 
     def protected(self):
-        """Tell whether this is one of the classes that cannot wait."""
+        """Return whether the class is latency-sensitive and not sheddable."""
         return self.first_token is not None and not self.sheddable
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Organisation:
-    """A caller; ``demand`` is its part of the requests."""
+    """A caller; ``demand_share`` is its share of all requests."""
 
     name: str
-    demand: float
+    demand_share: float
     weight: float = 1.0
 
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """One request with its true output length, which no policy sees."""
+    """One request; policies do not see its true output length."""
 
     number: int
     arrives: float
@@ -58,8 +58,8 @@
     prefix_tokens: int
     cost: float
 
-    def due(self):
-        """Return the latest end that can count as goodput."""
+    def deadline(self):
+        """Return the latest completion time that can count as goodput."""
         return self.arrives + (self.shape.total or self.shape.timeout)
 
 
@@ -97,56 +97,66 @@
 )
 
 
-def organisations(large=3, small=7, part=0.6):
-    """Return organisations of which the large ones send ``part``."""
+def organisations(large=3, small=7, large_share=0.6):
+    """Return organisations; the large ones send ``large_share``."""
     return [
-        Organisation(f"large{number}", part / large) for number in range(large)
+        Organisation(f"large{number}", large_share / large)
+        for number in range(large)
     ] + [
-        Organisation(f"small{number}", (1.0 - part) / small)
+        Organisation(f"small{number}", (1.0 - large_share) / small)
         for number in range(small)
     ]
 
 
-class Maker:
-    """Draws requests."""
+class RequestGenerator:
+    """Draws random requests."""
 
     def __init__(
-        self, rng, callers, pace, prefixes=1, prefix_part=PREFIX_PART
+        self,
+        rng,
+        callers,
+        parameters,
+        prefix_count=1,
+        prefix_share=PREFIX_SHARE,
     ):
         self._rng = rng
-        self._pace = pace
-        self._callers = callers
-        self._demands = [item.demand for item in callers]
-        self._prefixes = prefixes
-        self._prefix_part = prefix_part
+        self._parameters = parameters
+        self._organisations = callers
+        self._demand_shares = [item.demand_share for item in callers]
+        self._prefix_count = prefix_count
+        self._prefix_share = prefix_share
         self._number = 0
 
-    def make(self, shape, arrives):
+    def generate(self, shape, arrives):
         """Return one request of a class."""
         self._number += 1
-        (caller,) = self._rng.choices(self._callers, self._demands)
-        held = int(shape.prompt * self._prefix_part)
-        prompt = held + self._length(shape.prompt - held)
+        (organisation,) = self._rng.choices(
+            self._organisations, self._demand_shares
+        )
+        prefix_tokens = int(shape.prompt * self._prefix_share)
+        prompt = prefix_tokens + self._length(shape.prompt - prefix_tokens)
         output = self._length(shape.output)
-        which = self._rng.randrange(self._prefixes)
-        cost = engine_model.ideal_cost(self._pace, prompt, output, held)
+        prefix_number = self._rng.randrange(self._prefix_count)
+        cost = engine_model.ideal_cost(
+            self._parameters, prompt, output, prefix_tokens
+        )
         return Request(
             self._number,
             arrives,
             shape,
-            caller,
+            organisation,
             prompt,
             output,
-            f"{caller.name}/{shape.name}/{which}",
-            held,
+            f"{organisation.name}/{shape.name}/{prefix_number}",
+            prefix_tokens,
             cost,
         )
 
     def _length(self, median):
-        drawn = self._rng.lognormvariate(math.log(median), LENGTH_SIGMA)
-        return max(4, int(drawn))
+        length = self._rng.lognormvariate(math.log(median), LENGTH_SIGMA)
+        return max(4, int(length))
 
     def mean_cost(self, shape, samples=400):
-        """Return the mean ideal cost of a class, in engine seconds."""
-        total = sum(self.make(shape, 0.0).cost for _ in range(samples))
+        """Return the mean ideal cost of a class, in seconds of one engine."""
+        total = sum(self.generate(shape, 0.0).cost for _ in range(samples))
         return total / samples
