--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/__init__.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/__init__.py
@@ -1,5 +1,6 @@
-"""What each part costs at any size, from slopes measured on one machine.
+"""Capacity: what each part costs at any size, from measured slopes.
 
-``measure`` runs the probes and writes the data file, ``page`` makes the
-tables of docs/CAPACITY.md from it; see :mod:`.command`.
+All slopes are measured on one machine.  ``measure`` runs the probes and writes
+the data file; ``tables`` generates the tables of docs/CAPACITY.md from it (see
+:mod:`.command`).
 """
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/command.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/command.py
@@ -1,4 +1,4 @@
-"""``dandelionctl lab capacity``: measure, and make the page's tables."""
+"""The command ``dandelionctl lab capacity``."""
 
 import enum
 import os
@@ -16,20 +16,21 @@
 from . import pure
 
 COMMAND = "dandelionctl lab capacity"
-DATA = pathlib.Path("docs/capacity.json")
-PAGE = pathlib.Path("docs/CAPACITY.md")
-# Two seeds at the smaller sizes show how much chance there is in a run.
-FLOWS = (("9", 0), ("9", 1), ("53", 0), ("53", 1), ("159", 0))
-LARGEST = (("530", 0),)
-WORST = "80"
+DATA_PATH = pathlib.Path("docs/capacity.json")
+PAGE_PATH = pathlib.Path("docs/CAPACITY.md")
+# Two seeds at the smaller sizes show the variance between runs.
+FLOW_RUNS = (("9", 0), ("9", 1), ("53", 0), ("53", 1), ("159", 0))
+LARGEST_RUNS = (("530", 0),)
+WORST_CASE_SIZE = "80"
 
 app = cyclopts.App(
-    name="capacity", help="Measure slopes and make docs/CAPACITY.md."
+    name="capacity",
+    help="Measure costs and generate the tables of docs/CAPACITY.md.",
 )
 
 
 class Part(enum.Enum):
-    """What may be measured by itself."""
+    """Parts that can be measured on their own."""
 
     PURE = "pure"
     LIVE = "live"
@@ -40,10 +41,12 @@
 
 
 @app.default
-def capacity(*, data: pathlib.Path = DATA, page: pathlib.Path = PAGE):
-    """Measure everything, write the data file and remake the page.
+def capacity(
+    *, data: pathlib.Path = DATA_PATH, page: pathlib.Path = PAGE_PATH
+):
+    """Measure everything, write the data file and regenerate the page.
 
-    Takes half an hour and, for the largest size, some 6 GB of memory.
+    This takes half an hour and, for the largest size, about 6 GB of memory.
 
     Example: dandelionctl lab capacity
     """
@@ -52,89 +55,89 @@
 
 
 @app.command
-def measure(*parts: Part, data: pathlib.Path = DATA):
-    """Measure all parts, or those named, and write the data file.
+def measure(*parts: Part, data: pathlib.Path = DATA_PATH):
+    """Measure all parts, or those given, and write the data file.
 
     Example: dandelionctl lab capacity measure pure live
 
     Parameters
     ----------
     data
-        The file; what it holds of other parts is kept.
+        The data file; its results of other parts are kept.
     """
     for part in parts or list(Part):
-        _say(f"measuring {part.value}")
-        found = _MEASURES[part]()
-        held = data_module.read(data)
-        found(held)
-        held.command = COMMAND
-        held.python = platform.python_version()
-        held.cores = os.cpu_count()
-        held.load_average = round(os.getloadavg()[0], 1)
-        data_module.write(data, held)
-    _say(f"wrote {data}")
-
-
-def _say(text):
+        _print_progress(f"measuring {part.value}")
+        store_results = _MEASUREMENTS[part]()
+        results = data_module.read(data)
+        store_results(results)
+        results.command = COMMAND
+        results.python = platform.python_version()
+        results.cores = os.cpu_count()
+        results.load_average = round(os.getloadavg()[0], 1)
+        data_module.write(data, results)
+    _print_progress(f"wrote {data}")
+
+
+def _print_progress(text):
     print(text, file=sys.stderr, flush=True)
 
 
-def _pure():
-    found = [fits.run(probe, COMMAND) for probe in pure.PROBES]
-    return lambda held: held.replace_fits(found)
+def _measure_pure():
+    new_fits = [fits.run(probe, COMMAND) for probe in pure.PROBES]
+    return lambda results: results.replace_fits(new_fits)
 
 
-def _live():
+def _measure_live():
     layers = [data_module.Layer(*item) for item in live.layers()]
-    found = live.run(COMMAND)
+    new_fits = live.run(COMMAND)
 
-    def put(held):
-        held.layers = layers
-        held.replace_fits(found)
+    def store_results(results):
+        results.layers = layers
+        results.replace_fits(new_fits)
 
-    return put
+    return store_results
 
 
-def _streams():
-    found = [fits.run(live.STREAMS, COMMAND)]
-    return lambda held: held.replace_fits(found)
+def _measure_streams():
+    new_fits = [fits.run(live.STREAMS, COMMAND)]
+    return lambda results: results.replace_fits(new_fits)
 
 
-def _flows(runs):
+def _measure_flows_of(runs):
     def measure_flows():
-        found = []
+        new_flows = []
         for size, seed in runs:
-            _say(f"  {size} nodes")
-            found.extend(flows.measure(size, seed))
-        return lambda held: held.replace_flows(found)
+            _print_progress(f"  {size} nodes")
+            new_flows.extend(flows.measure(size, seed))
+        return lambda results: results.replace_flows(new_flows)
 
     return measure_flows
 
 
-def _worst():
-    found = flows.worst(WORST)
+def _measure_worst_cases():
+    worst_cases = flows.measure_worst_cases(WORST_CASE_SIZE)
 
-    def put(held):
-        held.worst = found
+    def store_results(results):
+        results.worst = worst_cases
 
-    return put
+    return store_results
 
 
-_MEASURES = {
-    Part.PURE: _pure,
-    Part.LIVE: _live,
-    Part.STREAMS: _streams,
-    Part.FLOWS: _flows(FLOWS),
-    Part.LARGEST: _flows(LARGEST),
-    Part.WORST: _worst,
+_MEASUREMENTS = {
+    Part.PURE: _measure_pure,
+    Part.LIVE: _measure_live,
+    Part.STREAMS: _measure_streams,
+    Part.FLOWS: _measure_flows_of(FLOW_RUNS),
+    Part.LARGEST: _measure_flows_of(LARGEST_RUNS),
+    Part.WORST: _measure_worst_cases,
 }
 
 
 @app.command
-def tables(*, data: pathlib.Path = DATA, page: pathlib.Path = PAGE):
-    """Remake the tables of the page from the data file.
+def tables(*, data: pathlib.Path = DATA_PATH, page: pathlib.Path = PAGE_PATH):
+    """Regenerate the tables of the page from the data file.
 
     Example: dandelionctl lab capacity tables
     """
     text = page.read_text()
-    page.write_text(page_module.remade(text, data_module.read(data)))
+    page.write_text(page_module.render_page(text, data_module.read(data)))
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/data.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/data.py
@@ -1,4 +1,4 @@
-"""The data file that the page's tables are made from."""
+"""The data file from which the tables of the page are generated."""
 
 import pathlib
 
@@ -9,14 +9,14 @@
 
 
 class Layer(msgspec.Struct):
-    """Memory of an interpreter with all layers up to this one."""
+    """Memory of an interpreter with all layers up to this one loaded."""
 
     name: str
     bytes: float
 
 
 class Data(msgspec.Struct):
-    """All that was measured, by parts that may be measured anew alone."""
+    """All measurements; each part can be measured again on its own."""
 
     command: str = ""
     python: str = ""
@@ -25,26 +25,26 @@
     layers: list[Layer] = []
     fits: list[fits_module.Fit] = []
     flows: list[flows_module.Flow] = []
-    worst: list[flows_module.Worst] = []
+    worst: list[flows_module.WorstCase] = []
 
-    def replace_fits(self, found):
-        """Put newly measured fits in the place of those of their name."""
-        names = {item.name for item in found}
-        kept = [item for item in self.fits if item.name not in names]
-        self.fits = kept + found
+    def replace_fits(self, measured):
+        """Replace the fits of the same names by newly measured ones."""
+        names = {item.name for item in measured}
+        others = [item for item in self.fits if item.name not in names]
+        self.fits = others + measured
 
-    def replace_flows(self, found):
-        """Put newly measured flows in the place of those of their size."""
-        sizes = {item.size for item in found}
-        kept = [item for item in self.flows if item.size not in sizes]
-        self.flows = sorted(kept + found, key=_flow_order)
+    def replace_flows(self, measured):
+        """Replace the flows of the same sizes by newly measured ones."""
+        sizes = {item.size for item in measured}
+        others = [item for item in self.flows if item.size not in sizes]
+        self.flows = sorted(others + measured, key=_flow_order)
 
     def fit(self, name):
         """Return the fit called ``name``."""
         return next(item for item in self.fits if item.name == name)
 
     def flow(self, size, kind):
-        """Return the first run of a size for a kind of node, or ``None``."""
+        """Return the first flow of a size for a role, or ``None``."""
         for item in self.flows:
             if (item.size, item.kind) == (size, kind):
                 return item
@@ -56,7 +56,7 @@
 
 
 def read(path):
-    """Return the data in the file at ``path``, empty where there is none."""
+    """Return the data in the file at ``path``, empty if it is missing."""
     if not pathlib.Path(path).exists():
         return Data()
     return msgspec.json.decode(pathlib.Path(path).read_bytes(), type=Data)
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/fits.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/fits.py
@@ -1,4 +1,4 @@
-"""Straight lines through measurements, with how well they fit."""
+"""Linear fits of measurements, with the quality of the fit."""
 
 import statistics
 import sys
@@ -8,12 +8,11 @@
 
 
 class Fit(msgspec.Struct):
-    """One line: ``start + slope * size``.
+    """A linear fit: ``start + slope * size``.
 
-    ``spread`` is the range of the slopes of the single repeats and
-    ``residual`` the root mean square distance of the medians from the line,
-    both as a share of what they are compared with (the slope, and the
-    median at the largest size).
+    ``spread`` is the range of the slopes of the single repeats as a share of
+    the slope.  ``residual`` is the root mean square distance of the medians
+    from the line as a share of the median at the largest size.
     """
 
     name: str
@@ -30,16 +29,16 @@
     repeats: int
 
     def at(self, size):
-        """Return the value of the line at ``size``."""
+        """Return the value of the fit at ``size``."""
         return self.start + self.slope * size
 
 
 class Probe(msgspec.Struct):
-    """One thing to measure at several sizes.
+    """A quantity to measure at several sizes.
 
-    ``measure(size)`` returns one number in ``unit``; it is called
-    ``repeats`` times for each size, in turns over the sizes, so that what
-    else the machine does meanwhile falls on all sizes alike.
+    ``measure(size)`` returns one number in ``unit``.  It is called ``repeats``
+    times per size, in rounds over all sizes, so that other load on the machine
+    affects all sizes alike.
     """
 
     name: str
@@ -62,18 +61,18 @@
 
 
 def fit(probe, rounds, command):
-    """Return the line through the medians of ``rounds``."""
+    """Return the linear fit of the medians of ``rounds``."""
     medians = [statistics.median(values) for values in zip(*rounds)]
     line = statistics.linear_regression(probe.sizes, medians)
     slopes = [
         statistics.linear_regression(probe.sizes, values).slope
         for values in rounds
     ]
-    off = [
+    distances = [
         value - line.intercept - line.slope * size
         for size, value in zip(probe.sizes, medians)
     ]
-    rms = (sum(value**2 for value in off) / len(off)) ** 0.5
+    rms = (sum(value**2 for value in distances) / len(distances)) ** 0.5
     return Fit(
         probe.name,
         probe.what,
@@ -84,11 +83,11 @@
         medians,
         line.intercept,
         line.slope,
-        _share(max(slopes) - min(slopes), line.slope),
-        _share(rms, medians[-1]),
+        _ratio(max(slopes) - min(slopes), line.slope),
+        _ratio(rms, medians[-1]),
         probe.repeats,
     )
 
 
-def _share(part, whole):
+def _ratio(part, whole):
     return abs(part / whole) if whole else 0.0
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/flows.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/flows.py
@@ -1,9 +1,9 @@
-"""What nodes send one another and work for it, at several sizes.
+"""Bytes sent between nodes, and the processor time for them, by size.
 
-The nodes are reducers joined by queues (:mod:`..members_costs`), which
-encode and count every batch.  One run at each size, up to the size of two
-years on itself, so that nothing there is extrapolated but HTTP's own
-processor time, which the queues leave out; :mod:`.live` has that.
+The nodes are reducers connected by queues (:mod:`..members_costs`), which
+encode every batch and count its bytes.  There is one run per size, up to the
+size that is expected in two years, so nothing is extrapolated except the
+processor time of HTTP, which the queues leave out; :mod:`.live` measures that.
 """
 
 import statistics
@@ -19,14 +19,14 @@
     "159": costs.Mix(159, 10, 5, 750, 480, 4, 3_000.0, 0.5),
     "530": costs.FULL,
 }
-# All nodes start at once and learn of everything; what they do after that
-# is the steady state.
-WARM_UP = 24.0
-SECONDS = 5.0
+# All nodes start at once and discover each other and all servers; the steady
+# state begins after that.
+WARM_UP_SECONDS = 24.0
+MEASURED_SECONDS = 5.0
 
 
 class Flow(msgspec.Struct):
-    """What a node of one kind does a second, at one size."""
+    """Rates per second of a node of one role, at one size."""
 
     size: str
     nodes: int
@@ -51,9 +51,11 @@
 def measure(size, seed=0):
     """Return the flows of ordinary nodes and of relays at one size."""
     mix = SIZES[size]
-    made, ordinary, relays = costs.steady(mix, WARM_UP, SECONDS, seed)
-    now = made.net.now
-    serving = [len(n.state.registry.serving(now)) for n in made.nodes]
+    deployment, ordinary, relays = costs.steady(
+        mix, WARM_UP_SECONDS, MEASURED_SECONDS, seed
+    )
+    now = deployment.net.now
+    serving = [len(n.state.registry.serving(now)) for n in deployment.nodes]
     return [
         Flow(
             size,
@@ -62,29 +64,31 @@
             mix.organisations,
             mix.requests,
             kind,
-            spent.nodes,
-            spent.bytes,
-            spent.worst_bytes,
-            spent.received_bytes,
-            spent.batches,
-            spent.messages,
-            spent.busy_share,
-            spent.by_kind,
+            rates.nodes,
+            rates.bytes,
+            rates.worst_bytes,
+            rates.received_bytes,
+            rates.batches,
+            rates.messages,
+            rates.busy_share,
+            rates.by_kind,
             seed,
             min(serving),
             statistics.median(serving),
             serving.count(mix.servers),
         )
-        for kind, spent in (("entry", ordinary), ("relay", relays))
-        if spent is not None
+        for kind, rates in (("entry", ordinary), ("relay", relays))
+        if rates is not None
     ]
 
 
-class Worst(msgspec.Struct):
-    """What an ordinary node sends at the worst of times, at one size.
+class WorstCase(msgspec.Struct):
+    """What an ordinary node sends during one worst case, at one size.
 
-    ``peak_bytes`` is the most in any second of any node that was not
-    itself struck, ``mean_bytes`` the mean over ``seconds``.
+    ``steady_bytes`` is the rate before the event.  ``mean_bytes`` is the mean
+    rate over ``seconds`` and ``peak_bytes`` the most that any node sent in any
+    one second, both among the nodes that were not themselves struck.
+    ``settled_s`` is -1 if the deployment did not settle within ``seconds``.
     """
 
     name: str
@@ -99,110 +103,120 @@
     settled_s: float
 
 
-def worst(size):
-    """Return the three worst hours, measured one after the other."""
-    made = costs.Deployment(SIZES[size])
-    made.run(WARM_UP)
-    made.reset()
-    made.run(SECONDS)
-    ordinary, _ = made.split()
-    steady = made.spent(ordinary, SECONDS).bytes
+def measure_worst_cases(size):
+    """Return the three worst cases, measured one after the other."""
+    deployment = costs.Deployment(SIZES[size])
+    deployment.run(WARM_UP_SECONDS)
+    deployment.reset()
+    deployment.run(MEASURED_SECONDS)
+    ordinary, _ = deployment.split()
+    steady = deployment.spent(ordinary, MEASURED_SECONDS).bytes
     return [
-        _domain_lost(made, size, steady),
-        _regions_joined(made, size, steady),
-        _rack_back(made, size, steady),
+        _measure_domain_loss(deployment, size, steady),
+        _measure_region_rejoin(deployment, size, steady),
+        _measure_rack_return(deployment, size, steady),
     ]
 
 
-def _domain_lost(made, size, steady):
-    struck = made.domain_nodes(0)
-    servers = range(0, made.mix.servers, made.mix.domains)
+def _measure_domain_loss(deployment, size, steady):
+    struck = deployment.domain_nodes(0)
+    servers = range(0, deployment.mix.servers, deployment.mix.domains)
     for node in struck:
         node.up = False
-    made.silent.update(servers)
-    others = [node for node in made.nodes if node.up]
+    deployment.silent.update(servers)
+    others = [node for node in deployment.nodes if node.up]
     names = {node.name for node in struck}
 
     def settled():
-        return all(_all_gone(node, names) for node in others)
+        return all(_all_failed(node, names) for node in others)
 
-    found = _watch(made, others, struck, settled)
+    recovery = _measure_recovery(deployment, others, struck, settled)
     for node in struck:
         node.up = True
-    made.silent.difference_update(servers)
-    made.run(WARM_UP)
-    return _result("a failure domain lost", size, made, struck, steady, found)
+    deployment.silent.difference_update(servers)
+    deployment.run(WARM_UP_SECONDS)
+    return _worst_case(
+        "a failure domain lost", size, deployment, struck, steady, recovery
+    )
 
 
-def _all_gone(node, names):
+def _all_failed(node, names):
     return all(node.state.members.members[name].gone() for name in names)
 
 
-def _regions_joined(made, size, steady):
-    struck = [n for n in made.nodes if n.state.identity.region == "r0"]
-    others = [n for n in made.nodes if n not in struck]
-    one = [node.name for node in struck]
-    other = [node.name for node in others]
-    made.net.separate(one, other)
-    made.run(2 * WARM_UP)
-    made.net.heal()
+def _measure_region_rejoin(deployment, size, steady):
+    struck = [n for n in deployment.nodes if n.state.identity.region == "r0"]
+    others = [n for n in deployment.nodes if n not in struck]
+    struck_names = [node.name for node in struck]
+    other_names = [node.name for node in others]
+    deployment.net.separate(struck_names, other_names)
+    deployment.run(2 * WARM_UP_SECONDS)
+    deployment.net.heal()
 
     def settled():
-        now = made.net.now
+        now = deployment.net.now
         return all(
-            len(node.state.registry.serving(now)) == made.mix.servers
-            for node in made.nodes
+            len(node.state.registry.serving(now)) == deployment.mix.servers
+            for node in deployment.nodes
         )
 
-    found = _watch(made, others, struck, settled)
-    return _result("two sides joined again", size, made, struck, steady, found)
+    recovery = _measure_recovery(deployment, others, struck, settled)
+    return _worst_case(
+        "two sides joined again", size, deployment, struck, steady, recovery
+    )
 
 
-def _rack_back(made, size, steady):
-    before = len(made.nodes)
-    for index in range(before, before + max(2, before // 20)):
-        made._add(index)
-    made.nodes = list(made.net.nodes.values())
-    struck = made.nodes[before:]
-    others = made.nodes[:before]
+def _measure_rack_return(deployment, size, steady):
+    old_count = len(deployment.nodes)
+    for index in range(old_count, old_count + max(2, old_count // 20)):
+        deployment.add_node(index)
+    deployment.nodes = list(deployment.net.nodes.values())
+    struck = deployment.nodes[old_count:]
+    others = deployment.nodes[:old_count]
 
     def settled():
-        now = made.net.now
+        now = deployment.net.now
         return all(
-            len(node.state.registry.serving(now)) == made.mix.servers
+            len(node.state.registry.serving(now)) == deployment.mix.servers
             for node in struck
         )
 
-    found = _watch(made, others, struck, settled)
-    return _result("a rack back at once", size, made, struck, steady, found)
+    recovery = _measure_recovery(deployment, others, struck, settled)
+    return _worst_case(
+        "a rack back at once", size, deployment, struck, steady, recovery
+    )
 
 
 WATCHED_SECONDS = 20
 
 
-def _watch(made, others, struck, settled):
-    """Return (mean, peak, received by the struck, settled after)."""
-    ordinary = [node for node in others if not costs._is_relay(node)]
-    total = peak = received = 0.0
+def _measure_recovery(deployment, others, struck, settled):
+    """Let time pass and watch the recovery.
+
+    Returns the mean and the peak of the bytes that the others sent per second,
+    the bytes received per struck node, and the seconds until ``settled()``.
+    """
+    ordinary = [node for node in others if not costs.is_relay(node)]
+    total_sent = peak = received = 0.0
     settled_s = float("inf")
     for second in range(1, WATCHED_SECONDS + 1):
-        made.reset()
-        made.run(1.0)
+        deployment.reset()
+        deployment.run(1.0)
         sent = [node.cost.bytes for node in ordinary]
-        total += sum(sent) / len(sent)
+        total_sent += sum(sent) / len(sent)
         peak = max(peak, *sent)
         received += sum(n.cost.received_bytes for n in struck) / len(struck)
         if settled_s == float("inf") and settled():
             settled_s = float(second)
-    return total / WATCHED_SECONDS, peak, received, settled_s
+    return total_sent / WATCHED_SECONDS, peak, received, settled_s
 
 
-def _result(name, size, made, struck, steady, found):
-    mean, peak, received, settled_s = found
-    return Worst(
+def _worst_case(name, size, deployment, struck, steady, recovery):
+    mean, peak, received, settled_s = recovery
+    return WorstCase(
         name,
         size,
-        len(made.nodes),
+        len(deployment.nodes),
         len(struck),
         WATCHED_SECONDS,
         steady,
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/live.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/live.py
@@ -1,7 +1,7 @@
-"""Probes of running instances, whose use the kernel counts.
+"""Probes of running instances, with the kernel's accounting.
 
-Every instance is a process of its own, so the Python interpreter and its
-libraries are in each figure.
+Every instance is its own process, so each figure includes the Python
+interpreter and its libraries.
 """
 
 import contextlib
@@ -25,17 +25,17 @@
 from .. import processes
 from . import fits
 
-KEY = "capacity-key"
+API_KEY = "capacity-key"
 IDLE_SECONDS = 3.0
 SETTLE_SECONDS = 2.0
 LOAD_SECONDS = 3.0
-PER_SECOND = 20.0
-MICROSECONDS = 1e6
-POSTS = 400
-SLOTS = 2048
+REQUESTS_PER_SECOND = 20.0
+MICROSECONDS_PER_SECOND = 1e6
+POST_COUNT = 400
+ENGINE_SLOTS = 2048
 
-KEEPERS = 3
-INSTANCES = [4, 8, 14]
+KEEPER_COUNT = 3
+INSTANCE_COUNTS = [4, 8, 14]
 REPEATS = 2
 INSTANCE_FITS = (
     ("keeper_share", "processor of the busiest idle keeper", "%"),
@@ -47,7 +47,7 @@
     ("idle_memory", "memory of an idle instance", "bytes"),
 )
 
-# What is imported, one on top of the other, to see what each adds.
+# Code that is imported cumulatively, to see what each layer adds.
 LAYERS = (
     ("Python", "pass"),
     ("gevent", "from gevent import monkey; monkey.patch_all()"),
@@ -61,21 +61,24 @@
 
 
 def layers():
-    """Return (name, bytes) of an interpreter with more and more loaded."""
+    """Return (name, bytes) of an interpreter for each layer.
+
+    Each entry has all layers up to that one loaded.
+    """
     code = ""
-    found = []
-    for name, line in LAYERS:
-        code += line + "\n"
-        found.append((name, _imported_bytes(code)))
-    return found
+    sizes = []
+    for name, statement in LAYERS:
+        code += statement + "\n"
+        sizes.append((name, _imported_bytes(code)))
+    return sizes
 
 
 def _imported_bytes(code):
-    waiting = "print(1, flush=True)\nimport sys\nsys.stdin.read()"
+    wait_for_eof = "print(1, flush=True)\nimport sys\nsys.stdin.read()"
     sizes = []
     for _ in range(3):
         process = subprocess.Popen(
-            [sys.executable, "-c", code + waiting],
+            [sys.executable, "-c", code + wait_for_eof],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
         )
@@ -86,74 +89,79 @@
     return statistics.median(sizes)
 
 
-class Service:
-    """One instance, one engine process, one key that may ask."""
+class SingleInstance:
+    """One instance, one engine process and one organisation's key."""
 
-    def __init__(self, step):
-        self._step = step
+    def __init__(self, step_seconds):
+        self._step_seconds = step_seconds
         self._stack = contextlib.ExitStack()
 
     def __enter__(self):
-        """Start all."""
+        """Start the processes and apply the configuration."""
         with self._stack:
-            one = processes.Deployment(["i1"], ["fd1"])
-            self._deployment = self._stack.enter_context(one)
+            deployment = processes.Deployment(["i1"], ["fd1"])
+            self._deployment = self._stack.enter_context(deployment)
             running = self._deployment.instances[0]
             self.pid = running.process.pid
             self.addresses = running.addresses
             self._start_engine()
-            self._declare()
+            self._apply_configuration()
             self._stack = self._stack.pop_all()
         return self
 
     def __exit__(self, *exc_info):
-        """Stop all."""
+        """Stop the processes."""
         return self._stack.__exit__(*exc_info)
 
     def _start_engine(self):
-        served = subprocess.Popen(
+        engine_process = subprocess.Popen(
             [
                 processes.program("dandelionctl"),
                 "lab",
                 "engine",
                 "e1",
                 f"--announce-to={self.addresses['backend_servers']}",
-                f"--slots={SLOTS}",
-                f"--step-ms={self._step * 1000}",
+                f"--slots={ENGINE_SLOTS}",
+                f"--step-ms={self._step_seconds * 1000}",
             ],
             stdout=subprocess.DEVNULL,
         )
-        self._stack.callback(processes.stop, served)
+        self._stack.callback(processes.stop, engine_process)
 
-    def _declare(self):
-        server = api.Api(f"http://{self.addresses['operators']}")
+    def _apply_configuration(self):
+        api_client = api.Api(f"http://{self.addresses['operators']}")
         demo.wait_until(
-            lambda: server.get("status")["serving_backend_servers"]
+            lambda: api_client.get("status")["serving_backend_servers"]
         )
-        server.put("backendpools", "all", {})
-        server.put("requestclasses", "lookup", {"pools": ["all"]})
-        key = [engine.key_hash(KEY)]
+        api_client.put("backendpools", "all", {})
+        api_client.put("requestclasses", "lookup", {"pools": ["all"]})
+        key = [engine.key_hash(API_KEY)]
         spec = {"keys": key, "default_class": "lookup"}
-        server.put("organisations", "load", spec)
+        api_client.put("organisations", "load", spec)
 
-    def ask(self, tokens):
-        """Return a request for so many tokens."""
+    def request_for(self, tokens):
+        """Return a request for an answer of ``tokens`` tokens."""
         address = self.addresses["callers"]
-        return client.Ask(address, KEY, "", "x" * 400, max_tokens=tokens)
+        return client.Ask(address, API_KEY, "", "x" * 400, max_tokens=tokens)
 
 
 def relay_us(service):
-    """Return a measure of µs for each request of so many events."""
+    """Return a measuring function: events per request to µs per request.
+
+    The instance's idle use is subtracted.
+    """
 
     def measure(events):
-        idle = _idle_share(service.pid)
+        idle_share = _idle_share(service.pid)
         before = proc.cpu_seconds(service.pid)
-        result = load.Load(service.ask(events)).run(PER_SECOND, LOAD_SECONDS)
-        used = proc.cpu_seconds(service.pid) - before
+        result = load.Load(service.request_for(events)).run(
+            REQUESTS_PER_SECOND, LOAD_SECONDS
+        )
+        used_seconds = proc.cpu_seconds(service.pid) - before
         if result.complete != result.sent:
-            raise RuntimeError(f"not all answers were whole: {result}")
-        used -= idle * result.seconds
-        return used / result.sent * MICROSECONDS
+            raise RuntimeError(f"some answers were incomplete: {result}")
+        used_seconds -= idle_share * result.seconds
+        return used_seconds / result.sent * MICROSECONDS_PER_SECOND
 
     return measure
 
@@ -165,75 +173,81 @@
 
 
 def stream_bytes(streams):
-    """Return the memory of a fresh instance with so many streams open."""
-    with Service(step=0.5) as service:
-        jobs = [
-            gevent.spawn(client.send, service.ask(100_000))
+    """Return the memory of a new instance with that many open streams."""
+    with SingleInstance(step_seconds=0.5) as service:
+        requests = [
+            gevent.spawn(client.send, service.request_for(100_000))
             for _ in range(streams)
         ]
         gevent.sleep(SETTLE_SECONDS + streams / 100.0)
-        held = proc.rss_bytes(service.pid)
-        gevent.killall(jobs)
-    return float(held)
+        memory_bytes = proc.rss_bytes(service.pid)
+        gevent.killall(requests)
+    return float(memory_bytes)
 
 
-def batch_us(service, which):
-    """Return a measure of µs for a batch of so many bytes.
+def batch_us(service, direction):
+    """Return a measuring function: bytes of a batch to µs per batch.
 
-    ``which`` is ``receive``, by the kernel's count of the instance, or
-    ``send``, by the count of this process, which sends as instances do.
+    With the direction ``receive`` it is the processor time of the instance as
+    the kernel counts it, less its idle use.  With ``send`` it is that of this
+    process, which sends as instances do.
     """
 
     def measure(size):
         body = _batch_body(size)
         host, port = service.addresses["peers"].rsplit(":", 1)
         sender = geventhttpclient.HTTPClient(host, int(port))
-        pid = service.pid if which == "receive" else "self"
-        idle = _idle_share(service.pid) if which == "receive" else 0.0
-        began = time.monotonic()
+        pid = service.pid if direction == "receive" else "self"
+        idle_share = (
+            _idle_share(service.pid) if direction == "receive" else 0.0
+        )
+        started = time.monotonic()
         before = proc.cpu_seconds(pid)
-        for _ in range(POSTS):
+        for _ in range(POST_COUNT):
             sender.post(
                 peer_link.PATH, body, {"Content-Type": "application/json"}
             ).read()
-        used = proc.cpu_seconds(pid) - before
-        used -= idle * (time.monotonic() - began)
+        used_seconds = proc.cpu_seconds(pid) - before
+        used_seconds -= idle_share * (time.monotonic() - started)
         sender.close()
-        return used / POSTS * MICROSECONDS
+        return used_seconds / POST_COUNT * MICROSECONDS_PER_SECOND
 
     return measure
 
 
 def _batch_body(size):
-    """Return an envelope of about ``size`` bytes with no message in it.
+    """Return an envelope of about ``size`` bytes without messages.
 
-    Its length is in the sender's address, so that the cost found is that
-    of HTTP and of decoding, and of no mechanism.
+    The sender's address is padded to reach the size, so the measured cost is
+    that of HTTP and of decoding, without that of any message handler.
     """
-    own = messages.Sender("i9", "", "fd1", "r1", 1)
-    empty = len(codec.encode(codec.Envelope(own, [])))
-    own.address = "x" * max(0, size - empty)
-    return codec.encode(codec.Envelope(own, []))
+    sender = messages.Sender("i9", "", "fd1", "r1", 1)
+    empty = len(codec.encode(codec.Envelope(sender, [])))
+    sender.address = "x" * max(0, size - empty)
+    return codec.encode(codec.Envelope(sender, []))
 
 
 def instances(count):
-    """Return what instances use of which ``count`` are idle together.
+    """Return the resource use of ``count`` idle instances.
 
-    Of the three keepers that with most counts, of the others the median.
+    For the three keepers it is the largest value of each counter, for the
+    other instances the median.
     """
     names = [f"i{number}" for number in range(1, count + 1)]
     domains = [f"fd{number % 3}" for number in range(count)]
-    with processes.Deployment(names, domains, keepers=KEEPERS) as deployment:
+    with processes.Deployment(
+        names, domains, keepers=KEEPER_COUNT
+    ) as deployment:
         gevent.sleep(SETTLE_SECONDS)
-        before = [_used(item) for item in deployment.instances]
+        before = [_resource_use(item) for item in deployment.instances]
         gevent.sleep(IDLE_SECONDS)
-        after = [_used(item) for item in deployment.instances]
-    spent = [
+        after = [_resource_use(item) for item in deployment.instances]
+    rates = [
         [(late - early) / IDLE_SECONDS for early, late in zip(*pair)]
         for pair in zip(before, after)
     ]
-    keepers = [max(values) for values in zip(*spent[:KEEPERS])]
-    others = [statistics.median(v) for v in zip(*spent[KEEPERS:])]
+    keepers = [max(values) for values in zip(*rates[:KEEPER_COUNT])]
+    others = [statistics.median(v) for v in zip(*rates[KEEPER_COUNT:])]
     memory = statistics.median(item[-1] for item in after)
     return {
         "keeper_share": keepers[0] * 100.0,
@@ -246,8 +260,8 @@
     }
 
 
-def _used(item):
-    """Return processor s, bytes and batches sent, and memory held."""
+def _resource_use(item):
+    """Return processor seconds, bytes sent, batches sent and memory held."""
     counters = _counters(item.addresses["operators"])
     batches = counters.get("peer_sent_batches_total", 0.0)
     sent = counters.get("peer_sent_bytes_total", 0.0)
@@ -261,9 +275,9 @@
 
 def _counters(address):
     host, port = address.rsplit(":", 1)
-    sender = geventhttpclient.HTTPClient(host, int(port))
-    text = sender.get("/metrics?by=none").read().decode()
-    sender.close()
+    client_connection = geventhttpclient.HTTPClient(host, int(port))
+    text = client_connection.get("/metrics?by=none").read().decode()
+    client_connection.close()
     lines = [line.split() for line in text.splitlines() if "{" not in line]
     return {
         name.removeprefix("dandeliontrail_"): float(value)
@@ -272,25 +286,30 @@
 
 
 def run(command):
-    """Run all probes of this module and return their fits."""
-    found = _run_instances(command)
-    with Service(step=0.01) as service:
-        found.append(fits.run(_relay_probe(service), command))
-        for which in ("receive", "send"):
-            found.append(fits.run(_batch_probe(service, which), command))
-    return found
+    """Run the probes of this module, except ``STREAMS``.
+
+    Returns their fits.
+    """
+    results = _run_instances(command)
+    with SingleInstance(step_seconds=0.01) as service:
+        results.append(fits.run(_relay_probe(service), command))
+        for direction in ("receive", "send"):
+            results.append(fits.run(_batch_probe(service, direction), command))
+    return results
 
 
 def _run_instances(command):
-    rounds = [[instances(size) for size in INSTANCES] for _ in range(REPEATS)]
-    found = []
+    rounds = [
+        [instances(size) for size in INSTANCE_COUNTS] for _ in range(REPEATS)
+    ]
+    results = []
     for key, what, unit in INSTANCE_FITS:
         values = [[item[key] for item in row] for row in rounds]
         probe = fits.Probe(
-            key, what, "instance", unit, INSTANCES, None, REPEATS
+            key, what, "instance", unit, INSTANCE_COUNTS, None, REPEATS
         )
-        found.append(fits.fit(probe, values, command))
-    return found
+        results.append(fits.fit(probe, values, command))
+    return results
 
 
 def _relay_probe(service):
@@ -304,14 +323,14 @@
     )
 
 
-def _batch_probe(service, which):
+def _batch_probe(service, direction):
     return fits.Probe(
-        f"batch_{which}_us",
-        f"HTTP for a batch between instances, to {which} it",
+        f"batch_{direction}_us",
+        f"HTTP for a batch between instances, to {direction} it",
         "byte of body",
         "µs",
         [250, 1000, 4000, 16000],
-        batch_us(service, which),
+        batch_us(service, direction),
     )
 
 
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/pure.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/pure.py
@@ -1,7 +1,7 @@
-"""Probes of the pure library and of the metrics, in this process.
+"""Probes of the library and of the metrics, run in this process.
 
-Memory is what ``tracemalloc`` counts for the objects made, which leaves out
-the interpreter and its allocator's waste; processor time is that of this
+Memory is what ``tracemalloc`` counts for the objects, which leaves out the
+interpreter and the overhead of its allocator.  Processor time is that of this
 process while nothing else runs in it.
 """
 
@@ -23,93 +23,97 @@
 from . import fits
 from . import samples
 
-MICROSECONDS = 1e6
-REQUESTS = 300
-SERVERS = [100, 500, 1000, 2500]
-ORGANISATIONS = [100, 400, 1600]
+MICROSECONDS_PER_SECOND = 1e6
+MEASURED_REQUESTS = 300
+SERVER_COUNTS = [100, 500, 1000, 2500]
+ORGANISATION_COUNTS = [100, 400, 1600]
 
 
-def traced(make):
-    """Return the bytes that ``make()``'s result holds."""
+def allocated_bytes(make):
+    """Return the bytes held by the result of ``make()``."""
     gc.collect()
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        kept = make()
+        result = make()
         gc.collect()
         after = tracemalloc.get_traced_memory()[0]
-        del kept
+        del result
     finally:
         tracemalloc.stop()
     return float(after - before)
 
 
-def busy(run, times=1):
-    """Return the processor time of one of ``times`` runs, in µs."""
+def cpu_us(run, times=1):
+    """Return the mean processor time of ``times`` runs, in µs."""
     gc.collect()
-    began = time.process_time()
+    started = time.process_time()
     for _ in range(times):
         run()
-    return (time.process_time() - began) / times * MICROSECONDS
+    return (time.process_time() - started) / times * MICROSECONDS_PER_SECOND
 
 
 def new_reducer(servers=0, organisations=0):
-    """Return a lone reducer that knows servers and organisations."""
+    """Return a single reducer that knows servers and organisations."""
     reducer = dandeliontrail.new_reducer(
         dandeliontrail.Identity("i1", "domain-0", "region-0", 1),
         random.Random(0),
     )
     reducer.apply(events.Started("127.0.0.1:1"), 0.0)
     objects = samples.classes() + samples.organisations(organisations)
-    reducer.state.store.apply(1, samples.change_of(objects))
+    reducer.state.store.apply(1, samples.make_change(objects))
     reducer.state.directory.invalidate()
     announce(reducer, servers, 0.0)
     return reducer
 
 
 def announce(reducer, servers, now, sequence=1):
-    """Let servers announce themselves."""
+    """Apply one announcement of each server."""
     for number in range(servers):
-        said = samples.decoded(samples.announcement(number, sequence))
-        reducer.apply(events.Announced(said), now)
+        announcement = samples.decode_announcement(
+            samples.announcement(number, sequence)
+        )
+        reducer.apply(events.Announced(announcement), now)
 
 
 def organisation_bytes(count):
-    """Return the memory of so many organisations."""
+    """Return the memory of ``count`` organisations."""
 
     def make():
-        held = store.ResourceStore()
+        resource_store = store.ResourceStore()
         objects = samples.classes() + samples.organisations(count)
-        held.apply(1, samples.change_of(objects))
-        return held
+        resource_store.apply(1, samples.make_change(objects))
+        return resource_store
 
-    return traced(make)
+    return allocated_bytes(make)
 
 
 def server_bytes(count):
-    """Return the memory of so many backend servers."""
-    return traced(lambda: new_reducer(count))
+    """Return the memory of ``count`` backend servers."""
+    return allocated_bytes(lambda: new_reducer(count))
 
 
 def histogram_bytes(count):
-    """Return the memory of the four metrics of so many organisations."""
+    """Return the memory of the four metrics of ``count`` organisations."""
 
     def make():
         rng = random.Random(0)
-        held = metrics.Metrics()
+        recorder = metrics.Metrics()
         for number in range(count):
             for metric in reports.Metric:
                 for _ in range(100):
                     value = rng.lognormvariate(4.0, 0.7)
                     name = f"organisation-{number}"
-                    held.record(effects.Measure(metric, "class", name, value))
-        return held
+                    recorder.record(
+                        effects.Measure(metric, "class", name, value)
+                    )
+        return recorder
 
-    return traced(make)
+    return allocated_bytes(make)
 
 
 def member_bytes(count):
-    """Return the memory of the records of so many other instances."""
+    """Return the memory of the records of ``count`` other instances."""
     reducer = new_reducer()
 
     def make():
@@ -117,18 +121,18 @@
             record = membership.MemberRecord(
                 f"instance-{number}",
                 f"10.1.{number // 250}.{number % 250}:8003",
-                f"domain-{number % samples.DOMAINS}",
-                f"region-{number % samples.REGIONS}",
+                f"domain-{number % samples.DOMAIN_COUNT}",
+                f"region-{number % samples.REGION_COUNT}",
                 1_700_000_000_000_000_000 + number,
             )
             reducer.state.members.learn(record, 0.0)
         return reducer
 
-    return traced(make)
+    return allocated_bytes(make)
 
 
 def usage_row_bytes(count):
-    """Return the memory of so many rows of the usage ledger."""
+    """Return the memory of ``count`` rows of the usage ledger."""
     reducer = new_reducer()
 
     def make():
@@ -136,120 +140,127 @@
         ledger.day = "2026-03-14"
         for number in range(count):
             name = f"organisation-{number // 4}"
-            counted = usage.Totals(1, 800, 310, 0)
-            ledger.count(name, f"class-{number % 4}", counted)
+            totals = usage.Totals(1, 800, 310, 0)
+            ledger.count(name, f"class-{number % 4}", totals)
         return reducer
 
-    return traced(make)
+    return allocated_bytes(make)
 
 
 def change_bytes(count):
-    """Return the memory of so many changes kept for watches and resends."""
+    """Return the memory of ``count`` changes kept for watches and resends."""
 
     def make():
-        held = store.ResourceStore()
+        resource_store = store.ResourceStore()
         objects = samples.classes() + samples.organisations(50)
-        held.apply(1, samples.change_of(objects))
+        resource_store.apply(1, samples.make_change(objects))
         for version in range(2, count + 2):
-            objects = _changed(version % 50, version)
-            change = samples.change_of(objects, f"operation-{version}")
-            held.apply(version, change)
-        return held
+            objects = _reweighted_organisation(version % 50, version)
+            change = samples.make_change(objects, f"operation-{version}")
+            resource_store.apply(version, change)
+        return resource_store
 
-    return traced(make)
+    return allocated_bytes(make)
 
 
-def _changed(number, version):
-    """Return an organisation with a weight that it did not have."""
+def _reweighted_organisation(number, version):
+    """Return an organisation with a weight that it did not have before."""
     objects = samples.organisations(number + 1)[-1:]
     objects[0][2]["weight"] = float(version)
     return objects
 
 
 def prefix_bytes(count):
-    """Return the memory of a prefix index for so many entries."""
+    """Return the memory of a prefix index for ``count`` entries."""
     return float(prefix_index.PrefixIndex(count).memory_bytes())
 
 
 def queued_bytes(count):
-    """Return the memory of so many requests that wait."""
+    """Return the memory of ``count`` waiting requests."""
     reducer = new_reducer(0, 100)
-    # One server with one slot, so that all but the first few wait.
-    said = samples.decoded(samples.announcement(0))
-    said.slots = 1
-    reducer.apply(events.Announced(said), 0.0)
+    # A single server with a single slot keeps all but the first few requests
+    # waiting.
+    announcement = samples.decode_announcement(samples.announcement(0))
+    announcement.slots = 1
+    reducer.apply(events.Announced(announcement), 0.0)
 
     def make():
         for number in range(count):
-            event = samples.request(number * samples.MODELS, number % 100)
+            event = samples.request(number * samples.MODEL_COUNT, number % 100)
             reducer.apply(event, 0.0)
         waiting = sum(reducer.waiting().values())
         if waiting < 0.9 * count:
-            raise RuntimeError(f"only {waiting} of {count} wait")
+            raise RuntimeError(
+                f"only {waiting} of {count} requests are waiting"
+            )
         return reducer
 
-    return traced(make)
+    return allocated_bytes(make)
 
 
 def decision_us(servers):
-    """Return the cost of the decisions on one request, start to end."""
+    """Return the µs of all decisions on one request, start to end."""
     reducer = new_reducer(servers, 100)
 
-    def one(number):
+    def decide_one(number):
         event = samples.request(number, number % 100)
-        key = event.request_id
-        out = reducer.apply(event, 0.5)
-        if not any(isinstance(item, effects.Dispatch) for item in out):
-            raise RuntimeError(f"{key} was not dispatched: {out}")
-        reducer.apply(events.AttemptBegan(key, 1), 0.5)
-        reducer.apply(events.FirstOutput(key, 1), 0.6)
-        reducer.apply(events.AnswerFinished(key, 1, 800, 310, [20.0]), 0.7)
+        request_id = event.request_id
+        effects_out = reducer.apply(event, 0.5)
+        if not any(isinstance(item, effects.Dispatch) for item in effects_out):
+            raise RuntimeError(
+                f"request {request_id} was not dispatched: {effects_out}"
+            )
+        reducer.apply(events.AttemptBegan(request_id, 1), 0.5)
+        reducer.apply(events.FirstOutput(request_id, 1), 0.6)
+        reducer.apply(
+            events.AnswerFinished(request_id, 1, 800, 310, [20.0]), 0.7
+        )
 
     for number in range(50):
-        one(number)
-    numbers = iter(range(50, 50 + REQUESTS))
-    return busy(lambda: one(next(numbers)), REQUESTS)
+        decide_one(number)
+    numbers = iter(range(50, 50 + MEASURED_REQUESTS))
+    return cpu_us(lambda: decide_one(next(numbers)), MEASURED_REQUESTS)
 
 
 def tick_us(servers):
-    """Return the cost of one tick that has nothing to do."""
+    """Return the µs of one tick that has nothing to do."""
     reducer = new_reducer(servers, 100)
-    moments = iter(range(1, 10_000))
-    return busy(lambda: reducer.tick(next(moments) / 1000.0), 200)
+    milliseconds = iter(range(1, 10_000))
+    return cpu_us(lambda: reducer.tick(next(milliseconds) / 1000.0), 200)
 
 
 def announcement_us(servers):
-    """Return the cost of one announcement, decoding included."""
+    """Return the µs of one announcement, including its decoding."""
     reducer = new_reducer(servers)
     bodies = iter(
         [samples.announcement(number % servers, 2) for number in range(100)]
     )
 
-    def one():
-        said = samples.decoded(next(bodies))
-        reducer.apply(events.Announced(said), 0.1)
+    def announce_one():
+        announcement = samples.decode_announcement(next(bodies))
+        reducer.apply(events.Announced(announcement), 0.1)
 
-    return busy(one, 100)
+    return cpu_us(announce_one, 100)
 
 
 def change_us(organisations):
-    """Return the cost of bringing one change into force."""
-    held = store.ResourceStore()
+    """Return the µs of applying one change of the configuration."""
+    resource_store = store.ResourceStore()
     objects = samples.classes() + samples.organisations(organisations)
-    held.apply(1, samples.change_of(objects))
+    resource_store.apply(1, samples.make_change(objects))
     versions = iter(range(2, 1000))
 
-    def one():
+    def change_one():
         version = next(versions)
-        objects = _changed(version % organisations, version)
-        held.apply(version, samples.change_of(objects))
+        objects = _reweighted_organisation(version % organisations, version)
+        resource_store.apply(version, samples.make_change(objects))
 
-    return busy(one, 30)
+    return cpu_us(change_one, 30)
 
 
 def record_us(series):
-    """Return the cost of one value over so many series."""
-    held = metrics.Metrics()
+    """Return the µs of recording one value, given that many series."""
+    recorder = metrics.Metrics()
     rng = random.Random(0)
     measures = [
         effects.Measure(
@@ -261,9 +272,9 @@
         for number in range(5000)
     ]
     for measure in measures:
-        held.record(measure)
-    given = iter(measures)
-    return busy(lambda: held.record(next(given)), len(measures))
+        recorder.record(measure)
+    remaining = iter(measures)
+    return cpu_us(lambda: recorder.record(next(remaining)), len(measures))
 
 
 PROBES = [
@@ -272,7 +283,7 @@
         "memory of a declared organisation with two keys",
         "organisation",
         "bytes",
-        ORGANISATIONS,
+        ORGANISATION_COUNTS,
         organisation_bytes,
     ),
     fits.Probe(
@@ -280,7 +291,7 @@
         "memory of a backend server's record",
         "backend server",
         "bytes",
-        SERVERS,
+        SERVER_COUNTS,
         server_bytes,
     ),
     fits.Probe(
@@ -336,7 +347,7 @@
         "all decisions on one request, against servers in view",
         "backend server",
         "µs",
-        SERVERS,
+        SERVER_COUNTS,
         decision_us,
     ),
     fits.Probe(
@@ -344,7 +355,7 @@
         "one tick of the reducer, against servers in view",
         "backend server",
         "µs",
-        SERVERS,
+        SERVER_COUNTS,
         tick_us,
     ),
     fits.Probe(
@@ -352,7 +363,7 @@
         "taking in one announcement, against servers in view",
         "backend server",
         "µs",
-        SERVERS,
+        SERVER_COUNTS,
         announcement_us,
     ),
     fits.Probe(
@@ -360,7 +371,7 @@
         "bringing one change into force, against organisations",
         "organisation",
         "µs",
-        ORGANISATIONS,
+        ORGANISATION_COUNTS,
         change_us,
     ),
     fits.Probe(
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/samples.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/samples.py
@@ -1,4 +1,4 @@
-"""Objects, servers and requests of the kind and size that users have."""
+"""Objects, servers and requests of realistic kind and size."""
 
 import random
 
@@ -9,14 +9,14 @@
 
 from .. import engine
 
-MODELS = 16
-CLASSES = 8
-DOMAINS = 10
-REGIONS = 5
+MODEL_COUNT = 16
+CLASS_COUNT = 8
+DOMAIN_COUNT = 10
+REGION_COUNT = 5
 
 
-def change_of(objects, operation_id=""):
-    """Return one change that puts (kind, name, spec) objects."""
+def make_change(objects, operation_id=""):
+    """Return a change that puts the given (kind, name, spec) objects."""
     operations = [
         changes.Operation(
             changes.Verb.PUT,
@@ -29,8 +29,8 @@
     return changes.Change(operation_id, operations)
 
 
-def classes(count=CLASSES):
-    """Return one pool and ``count`` classes over four tiers."""
+def classes(count=CLASS_COUNT):
+    """Return one pool and ``count`` classes over four priorities."""
     pool = ("backendpools", "engines", {"select": {"kind": "model_engine"}})
     return [pool] + [
         (
@@ -72,24 +72,24 @@
     ]
 
 
-def key_of(number):
-    """Return the hash of a key of organisation ``number``."""
+def key_hash_of(number):
+    """Return the hash of the first key of organisation ``number``."""
     return engine.key_hash(f"{number}-a")
 
 
 def announcement(number, sequence=1):
-    """Return what worker ``number`` announces, as it comes off the wire."""
+    """Return the encoded announcement of worker ``number``."""
     rng = random.Random(number * 1_000_003 + sequence)
-    said = {
+    fields = {
         "backend_server": f"worker-{number:04}",
         "epoch": 1_700_000_000,
         "sequence": sequence,
         "kind": "model_engine",
         "url": f"http://10.{number // 250}.{number % 250}.7:9000",
-        "failure_domain": f"domain-{number % DOMAINS}",
+        "failure_domain": f"domain-{number % DOMAIN_COUNT}",
         "models": [
             {
-                "name": f"model-{number % MODELS}",
+                "name": f"model-{number % MODEL_COUNT}",
                 "version": "2026-04-01",
                 "adapters": ["adapter-a", "adapter-b"],
             }
@@ -104,11 +104,11 @@
         },
         "lease": 3,
     }
-    return msgspec.json.encode(said)
+    return msgspec.json.encode(fields)
 
 
-def decoded(body):
-    """Return an announcement as the listener hands it on."""
+def decode_announcement(body):
+    """Return an announcement as the listener decodes it."""
     return msgspec.json.decode(body, type=announcements.Announcement)
 
 
@@ -116,9 +116,9 @@
     """Return the event of one caller's request."""
     return events.RequestReceived(
         f"request-{number}",
-        key_of(organisation),
+        key_hash_of(organisation),
         "",
-        model=f"model-{number % MODELS}",
+        model=f"model-{number % MODEL_COUNT}",
         path="/v1/chat/completions",
         prompt_tokens=800,
         max_output_tokens=310,
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/members_costs.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/members_costs.py
@@ -1,9 +1,9 @@
-"""What membership, dissemination and usage cost, measured on pure nodes.
+"""Costs of membership, dissemination and usage, on simulated nodes.
 
-Each function builds a network of reducers, lets backend servers announce
-themselves and organisations use tokens at a given mix, and returns what a
-node spent a second.  bench/members.py prints the tables and the capacity
-page takes its slopes from :func:`slopes`.
+Each function builds a network of reducers, lets backend servers send
+announcements and organisations use tokens according to a given mix, and
+returns the rates of the nodes.  bench/members.py prints the tables, and the
+capacity page takes its flows from :func:`steady`.
 """
 
 import collections
@@ -20,15 +20,16 @@
 from . import pure_nodes
 
 DAY = "2026-03-14"
-TICK = pure_nodes.STEPS_PER_TICK / pure_nodes.STEPS_PER_SECOND
+TICK_SECONDS = pure_nodes.STEPS_PER_TICK / pure_nodes.STEPS_PER_SECOND
 
 
 @dataclasses.dataclass(slots=True)
 class Mix:
-    """A deployment and what happens in it each second.
+    """The size of a deployment and its load per second.
 
-    Few organisations are busy: they are drawn with a weight of one over
-    their rank, so that of 100 the first makes a fifth of all requests.
+    Organisations are drawn with a weight of one over their rank, so that few
+    of them are busy: of 100 organisations the first makes a fifth of all
+    requests.
     """
 
     nodes: int = 9
@@ -42,12 +43,12 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Spent:
-    """What the nodes of one kind sent and worked a second.
+class ResourceRates:
+    """Rates per second of the nodes of one kind.
 
-    ``bytes`` is the mean, ``worst_bytes`` that of the node with most;
-    ``by_kind`` has the bytes of each message type without HTTP and
-    envelopes.
+    ``bytes`` is the mean of the bytes sent and ``worst_bytes`` those of the
+    node that sent most.  ``by_kind`` has the bytes per message type, without
+    HTTP and envelopes.  ``busy_share`` is the share of a core.
     """
 
     nodes: int
@@ -60,42 +61,43 @@
     by_kind: dict
 
 
-MANY = 100
+MIN_NODES_TO_PRELOAD = 100
 TODAY = Mix()
 MEDIUM = Mix(53, 3, 1, 250, 160, 4, 1_000.0, 0.25)
 FULL = Mix(530, 10, 5, 2_500, 1_600, 4, 10_000.0, 0.5)
 
 
 class Deployment:
-    """A network under a mix."""
+    """A network of nodes under the load of a mix."""
 
     def __init__(self, mix, seed=0, count_bytes=True):
         self.mix = mix
         self.rng = random.Random(seed)
         self.net = pure_nodes.Network(seed, count_bytes=count_bytes)
         self._sequence = 0
-        self._debt = 0.0
-        self._tenth = 0
+        self._pending_requests = 0.0
+        self._tenth_of_second = 0
         self.silent = set()
-        self._versions = {}
+        self._model_versions = {}
         self._weights = [1.0 / (rank + 1) for rank in range(mix.organisations)]
         for index in range(mix.nodes):
-            self._add(index)
+            self.add_node(index)
         self.nodes = list(self.net.nodes.values())
-        if mix.nodes >= MANY:
-            self._acquaint()
+        if mix.nodes >= MIN_NODES_TO_PRELOAD:
+            self._preload_members()
 
-    def _acquaint(self):
-        """Let all nodes know each other, as after hours together.
+    def _preload_members(self):
+        """Give all nodes the records of each other.
 
-        To start hundreds of them at once would measure little else.
+        This is their state after hours of operation.  If hundreds of them
+        started at once, the start would dominate the measurement.
         """
         records = [node.state.members.own_record() for node in self.nodes]
         for node in self.nodes:
             for record in records:
                 node.state.members.learn(record, 0.0)
 
-    def _add(self, index):
+    def add_node(self, index):
         domain = index % self.mix.domains
         region = domain * self.mix.regions // self.mix.domains
         node = self.net.add(f"i{index:03}", f"fd{domain}", f"r{region}")
@@ -111,7 +113,7 @@
         load = announcements.Load(
             self.rng.randrange(64), self.rng.randrange(16), 1000, 20.0
         )
-        version = str(self._versions.get(index, 1))
+        version = str(self._model_versions.get(index, 1))
         return announcements.Announcement(
             f"e{index:04}",
             1,
@@ -127,158 +129,170 @@
         )
 
     def announce(self, index, **fields):
-        """Let a server announce itself to some node of its domain."""
+        """Send a server's announcement to a random node of its domain."""
         self._sequence += 1
         node = self.rng.choice(self.domain_nodes(index))
         self.net.announce(node, self.announcement(index, **fields))
 
     def run(self, seconds, watch=None):
-        """Let time pass under the mix; each server speaks every second."""
-        for _ in range(round(seconds / TICK)):
-            for index in range(self._tenth, self.mix.servers, 10):
+        """Advance time under the mix; each server announces every second."""
+        for _ in range(round(seconds / TICK_SECONDS)):
+            for index in range(self._tenth_of_second, self.mix.servers, 10):
                 if index not in self.silent:
                     self.announce(index)
-            self._tenth = (self._tenth + 1) % 10
-            self._use()
-            self._change()
-            self.net.run(TICK, watch)
-
-    def _use(self):
-        self._debt += self.mix.requests * TICK
-        count = int(self._debt)
-        self._debt -= count
+            self._tenth_of_second = (self._tenth_of_second + 1) % 10
+            self._record_usage()
+            self._change_at_random()
+            self.net.run(TICK_SECONDS, watch)
+
+    def _record_usage(self):
+        self._pending_requests += self.mix.requests * TICK_SECONDS
+        count = int(self._pending_requests)
+        self._pending_requests -= count
         names = range(self.mix.organisations)
         for rank in self.rng.choices(names, self._weights, k=count):
             node = self.rng.choice(self.nodes)
             class_name = f"class{self.rng.randrange(self.mix.classes)}"
-            counted = usage.Totals(1, 500, 300, 0)
-            node.state.usage.count(f"org{rank:04}", class_name, counted)
+            totals = usage.Totals(1, 500, 300, 0)
+            node.state.usage.count(f"org{rank:04}", class_name, totals)
 
-    def _change(self):
-        if self.rng.random() < self.mix.changes * TICK:
+    def _change_at_random(self):
+        if self.rng.random() < self.mix.changes * TICK_SECONDS:
             self.change(self.rng.randrange(self.mix.servers))
 
     def change(self, index):
-        """Let a server load another version of its model."""
-        self._versions[index] = self._versions.get(index, 1) + 1
+        """Announce another version of the model of server ``index``."""
+        self._model_versions[index] = self._model_versions.get(index, 1) + 1
         self.announce(index)
 
     def reset(self):
-        """Begin to count costs afresh."""
+        """Reset the cost counters of all nodes."""
         for node in self.nodes:
             node.cost = pure_nodes.Cost()
             node.by_kind.clear()
 
     def split(self):
-        """Return the nodes that are no relays, and those that are."""
-        relays = [item for item in self.nodes if _is_relay(item)]
-        return [item for item in self.nodes if not _is_relay(item)], relays
+        """Return the nodes that are not relays, and the relays."""
+        relays = [item for item in self.nodes if is_relay(item)]
+        return [item for item in self.nodes if not is_relay(item)], relays
 
     def spent(self, nodes, seconds):
-        """Return what ``nodes`` spent a second since :meth:`reset`."""
+        """Return the rates of ``nodes`` over ``seconds`` since the reset."""
         if not nodes:
             return None
-        kinds = collections.Counter()
+        bytes_by_kind = collections.Counter()
         for node in nodes:
-            kinds.update(node.by_kind)
-        count = len(nodes) * seconds
+            bytes_by_kind.update(node.by_kind)
+        node_seconds = len(nodes) * seconds
         costs = [node.cost for node in nodes]
-        return Spent(
+        return ResourceRates(
             len(nodes),
-            sum(cost.bytes for cost in costs) / count,
+            sum(cost.bytes for cost in costs) / node_seconds,
             max(cost.bytes for cost in costs) / seconds,
-            sum(cost.received_bytes for cost in costs) / count,
-            sum(cost.batches for cost in costs) / count,
-            sum(cost.messages for cost in costs) / count,
-            sum(cost.busy_seconds for cost in costs) / count,
-            {kind: size / count for kind, size in sorted(kinds.items())},
+            sum(cost.received_bytes for cost in costs) / node_seconds,
+            sum(cost.batches for cost in costs) / node_seconds,
+            sum(cost.messages for cost in costs) / node_seconds,
+            sum(cost.busy_seconds for cost in costs) / node_seconds,
+            {
+                kind: size / node_seconds
+                for kind, size in sorted(bytes_by_kind.items())
+            },
         )
 
     def seconds_until(self, holds, limit=20.0):
-        """Return how long each node takes until ``holds(node)``, sorted.
+        """Return, in ascending order, the seconds until each node ``holds``.
 
-        Nodes that do not get there within ``limit`` seconds are left out.
+        ``holds(node)`` is the condition to wait for.  Nodes that do not meet
+        it within ``limit`` seconds are left out.
         """
-        began = self.net.now
-        left = list(self.nodes)
-        took = []
+        started = self.net.now
+        pending = list(self.nodes)
+        durations = []
 
         def watch():
-            done = [node for node in left if holds(node)]
-            for node in done:
-                left.remove(node)
-                took.append(self.net.now - began)
+            reached = [node for node in pending if holds(node)]
+            for node in reached:
+                pending.remove(node)
+                durations.append(self.net.now - started)
 
-        while left and self.net.now - began < limit:
-            self.run(TICK, watch)
-        return took
+        while pending and self.net.now - started < limit:
+            self.run(TICK_SECONDS, watch)
+        return durations
 
 
-def _is_relay(node):
+def is_relay(node):
     members = node.state.members
     return not members.full_mesh() and members.is_relay()
 
 
 def steady(mix, warm_up=10.0, seconds=8.0, seed=0):
-    """Return what ordinary nodes and relays spend once all is known."""
-    made = Deployment(mix, seed)
-    made.run(warm_up)
-    made.reset()
-    made.run(seconds)
-    ordinary, relays = made.split()
-    return made, made.spent(ordinary, seconds), made.spent(relays, seconds)
+    """Return the deployment and its rates in the steady state.
 
-
-def leave_seconds(made, index):
-    """Return how long each node takes to stop using a leaving server."""
+    The rates are those of ordinary nodes and of relays, ``None`` without
+    relays.
+    """
+    deployment = Deployment(mix, seed)
+    deployment.run(warm_up)
+    deployment.reset()
+    deployment.run(seconds)
+    ordinary, relays = deployment.split()
+    return (
+        deployment,
+        deployment.spent(ordinary, seconds),
+        deployment.spent(relays, seconds),
+    )
+
+
+def leave_seconds(deployment, index):
+    """Return the seconds until each node stops using a leaving server."""
     name = f"e{index:04}"
-    made.silent.add(index)
-    made.announce(index, leaving=True)
+    deployment.silent.add(index)
+    deployment.announce(index, leaving=True)
 
     def stopped(node):
         server = node.state.registry.servers.get(name)
-        return not server or not server.serves(made.net.now)
+        return not server or not server.serves(deployment.net.now)
 
-    return made.seconds_until(stopped)
+    return deployment.seconds_until(stopped)
 
 
-def join_seconds(made, index):
-    """Return how long each node takes to know a server that was new."""
+def join_seconds(deployment, index):
+    """Return the seconds until each node knows a new server."""
     name = f"e{index:04}"
-    made.announce(index)
+    deployment.announce(index)
 
     def knows(node):
         server = node.state.registry.servers.get(name)
-        return server is not None and server.serves(made.net.now)
+        return server is not None and server.serves(deployment.net.now)
 
-    return made.seconds_until(knows)
+    return deployment.seconds_until(knows)
 
 
-def silence_seconds(made, index):
-    """Return how long each node goes on using a server that fell silent."""
-    made.silent.add(index)
+def silence_seconds(deployment, index):
+    """Return the seconds until each node stops using a silent server."""
+    deployment.silent.add(index)
     name = f"e{index:04}"
 
     def stopped(node):
-        return not node.state.registry.servers[name].serves(made.net.now)
+        return not node.state.registry.servers[name].serves(deployment.net.now)
 
-    return made.seconds_until(stopped)
+    return deployment.seconds_until(stopped)
 
 
-def fail_seconds(made, number):
-    """Return how long each other node takes to take one for failed."""
-    gone = made.nodes.pop(number)
-    gone.up = False
+def fail_seconds(deployment, number):
+    """Return the seconds until each other node considers one failed."""
+    failed_node = deployment.nodes.pop(number)
+    failed_node.up = False
 
     def failed(node):
-        return node.state.members.members[gone.name].gone()
+        return node.state.members.members[failed_node.name].gone()
 
-    return made.seconds_until(failed, 40.0)
+    return deployment.seconds_until(failed, 40.0)
 
 
 @dataclasses.dataclass(slots=True)
 class Slope:
-    """What one more of something costs a node a second."""
+    """Rates per second of one node for one more of something."""
 
     of: str
     role: str
@@ -287,9 +301,9 @@
     busy_share: float
 
 
-# Between these sizes the links have relays, as they do at full size.
-BASE = Mix(40, 4, 2, 160, 160, 4, 400.0, 0.2)
-STEPS = (
+# Over all of these sizes the links have relays, as at full size.
+BASE_MIX = Mix(40, 4, 2, 160, 160, 4, 400.0, 0.2)
+MIX_STEPS = (
     ("nodes", 80),
     ("servers", 480),
     ("organisations", 480),
@@ -299,19 +313,19 @@
 
 
 def slopes(seconds=8.0):
-    """Return a :class:`Slope` for each step from ``BASE`` and each role.
+    """Return a :class:`Slope` for each step from the base and each role.
 
-    ``requests`` and ``changes`` are those of the whole system a second; a
+    ``requests`` and ``changes`` are rates per second of the whole system; a
     change is one of a backend server's record.
     """
-    base = steady(BASE, seconds=seconds)[1:]
-    out = []
-    for name, value in STEPS:
-        mix = dataclasses.replace(BASE, **{name: value})
-        step = value - getattr(BASE, name)
-        found = steady(mix, seconds=seconds)[1:]
-        for role, before, after in zip(("ordinary", "relay"), base, found):
-            out.append(
+    base = steady(BASE_MIX, seconds=seconds)[1:]
+    slopes_found = []
+    for name, value in MIX_STEPS:
+        mix = dataclasses.replace(BASE_MIX, **{name: value})
+        step = value - getattr(BASE_MIX, name)
+        rates = steady(mix, seconds=seconds)[1:]
+        for role, before, after in zip(("ordinary", "relay"), base, rates):
+            slopes_found.append(
                 Slope(
                     name,
                     role,
@@ -320,37 +334,37 @@
                     (after.busy_share - before.busy_share) / step,
                 )
             )
-    return out
+    return slopes_found
 
 
 @dataclasses.dataclass(slots=True)
 class MemorySlope:
-    """Bytes of memory that one more of something takes in an instance."""
+    """Bytes of memory of an instance for one more of something."""
 
     of: str
     bytes: float
 
 
 def memory_slopes(count=2000):
-    """Return the memory of a member, a server and a usage row."""
+    """Return the memory of a member, a backend server and a usage row."""
     return [
-        MemorySlope("member", _bytes_each(_fill_members, count)),
-        MemorySlope("backend server", _bytes_each(_fill_servers, count)),
-        MemorySlope("usage row", _bytes_each(_fill_usage, count)),
+        MemorySlope("member", _bytes_per_item(_add_members, count)),
+        MemorySlope("backend server", _bytes_per_item(_add_servers, count)),
+        MemorySlope("usage row", _bytes_per_item(_add_usage_rows, count)),
     ]
 
 
-def _bytes_each(fill, count):
+def _bytes_per_item(add_items, count):
     state = pure_nodes.Network().add("i0").state
-    fill(state, 10)
+    add_items(state, 10)
     tracemalloc.start()
-    fill(state, count)
+    add_items(state, count)
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return size / count
 
 
-def _fill_members(state, count):
+def _add_members(state, count):
     for number in range(count):
         name = f"member{count}-{number}"
         record = member_records.MemberRecord(
@@ -359,10 +373,10 @@
         state.members.learn(record, 0.0)
 
 
-def _fill_servers(state, count):
+def _add_servers(state, count):
     for number in range(count):
         name = f"server{count}-{number}"
-        said = announcements.Announcement(
+        announcement = announcements.Announcement(
             name,
             1,
             1,
@@ -371,10 +385,10 @@
             "fd1",
             [announcements.Model(f"model{number % 16}")],
         )
-        state.registry.learn(said, 0.0, 0.0)
+        state.registry.learn(announcement, 0.0, 0.0)
 
 
-def _fill_usage(state, count):
+def _add_usage_rows(state, count):
     state.usage.day = DAY
     for number in range(count):
         name = f"organisation{count}-{number}"
@@ -382,5 +396,5 @@
 
 
 def peak_memory_mb():
-    """Return the largest memory of this process so far, in MB."""
+    """Return the peak memory of this process so far, in MB."""
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
--- a/tests/cover/test_capacity.py
+++ b/tests/cover/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page says what its data file holds."""
+"""The capacity page agrees with its data file."""
 
 import pathlib
 
@@ -14,8 +14,8 @@
 
 def test_tables_of_the_page_are_those_of_the_data_file():
     text = (DOCS / "CAPACITY.md").read_text()
-    assert page.remade(text, DATA) == text
-    places = {found["name"] for found in page.PLACE.finditer(text)}
+    assert page.render_page(text, DATA) == text
+    places = {match["name"] for match in page.TABLE_PLACEHOLDER.finditer(text)}
     assert places == set(page.TABLES)
 
 
@@ -37,8 +37,8 @@
 def test_noise_shows_in_spread_and_residual():
     probe = fits.Probe("x", "", "", "", [1, 2, 3], None)
     found = fits.fit(probe, [[1.0, 5.0, 3.0], [2.0, 5.0, 9.0]], "")
-    # Slopes 1 and 3.5 about 2.25; the medians 1.5, 5 and 6 lie 0.42, 0.83
-    # and 0.42 off their line.
+    # The slopes are 1 and 3.5, with 2.25 for the medians; the medians 1.5, 5
+    # and 6 are 0.42, 0.83 and 0.42 off the fit.
     assert found.spread == pytest.approx(2.5 / 2.25)
     assert found.residual == pytest.approx(0.589 / 6.0, rel=1e-3)
 
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize("role", ["entry", "relay"])
 def test_sums_grow_with_the_deployment(role):
     for lines_of in (model.memory, model.processor):
-        today, later = [
+        today, at_size = [
             model.total(lines_of(size, DATA, role)) for size in model.SIZES
         ]
-        assert 0 < today < later
+        assert 0 < today < at_size
