--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/__init__.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/__init__.py
@@ -1,3 +1,3 @@
-"""Stand-in backend servers, load, experiments and reports."""
+"""Simulated backend servers, load, experiments and reports."""
 
 __version__ = "0.1.0"
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/audit.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/audit.py
@@ -1,9 +1,10 @@
-"""Compares what callers got with what the engines ran.
+"""Compares the answers that callers got with what the engines ran.
 
-Numbered requests go through several instances, with faults made by the
-stand-in engines, paths that lose their connections, and an instance killed
-in the middle.  Each answer is held against what the engines took down: an
-answer lost, work doubled, text cut, or "not run" said of what had begun.
+Numbered requests go through several instances, with faults of the simulated
+engines, network paths that lose their connections and an instance that is
+killed during the run.  Each answer is checked against the engines' records, to
+find lost answers, work that ran twice, truncated text and "not run" outcomes
+of requests that an engine had begun.
 """
 
 import collections
@@ -24,29 +25,31 @@
 from . import paths
 from . import processes
 
-NAMES = ("i1", "i2", "i3")
+INSTANCE_NAMES = ("i1", "i2", "i3")
 DOMAINS = ("fd1", "fd2", "fd3")
-KEY = "audit-key"
-SLOTS = 48
-PACE = batch.Pace(step=0.002, step_per_stream=0.0, prefill=0.0)
-MOST_TOKENS = 12
-MOST_SENDS = 6
-RESEND_SECONDS = 0.3
+API_KEY = "audit-key"
+ENGINE_SLOTS = 48
+ENGINE_PACE = batch.Pace(step=0.002, step_per_stream=0.0, prefill=0.0)
+MAX_TOKENS = 12
+MAX_SENDS = 6
+RESEND_DELAY_SECONDS = 0.3
 CLASSES = {
     "lookup": {"priority": 0, "pools": ["models"]},
     "summary": {"priority": 2, "repeatable": False, "pools": ["models"]},
 }
-# The claims' voters have met and the instance that was killed is back.
+# After this delay the voters for claims have found each other, and an instance
+# that was killed is back.
 SETTLE_SECONDS = 2.0
 
 
 @dataclasses.dataclass(slots=True)
 class Plan:
-    """One run; the same seed draws the same requests and faults.
+    """The parameters of one run.
 
-    ``fault_rate`` is the share of requests that an engine fails on
-    purpose, ``path_losses`` how often a path loses its connections and
-    ``kills`` how often an instance is killed and started anew.
+    The same seed draws the same requests and faults.  ``fault_rate`` is the
+    share of requests that an engine fails on purpose, ``path_losses`` how
+    often a path loses its connections and ``kills`` how often an instance is
+    killed and restarted.
     """
 
     seed: int = 0
@@ -59,7 +62,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Case:
-    """One numbered request and what came of it."""
+    """One numbered request and the answers to it."""
 
     number: int
     class_name: str
@@ -67,18 +70,26 @@
     streamed: bool
     tokens: int
     answers: list = dataclasses.field(default_factory=list)
-    # Whether the instance that it was sent to was killed meanwhile.
+    # Whether the instance that the request was sent to was killed meanwhile.
     orphaned: bool = False
 
     @property
     def text(self):
-        """The one right answer."""
+        """The only correct answer."""
         return "".join(f"w{number} " for number in range(self.tokens))
 
 
 @dataclasses.dataclass(slots=True)
 class Report:
-    """What one run found; the last four are lists of numbers."""
+    """The findings of one run.
+
+    The last four fields are lists of request numbers: ``lost`` without an
+    outcome, ``doubled`` if work that must not be repeated ran twice, ``cut``
+    if a complete answer had the wrong text, and ``false_not_run`` if "not run"
+    was reported of a request that an engine had begun.  ``reruns`` counts the
+    repeated runs of all requests, ``orphaned`` the requests whose instance was
+    killed.
+    """
 
     seed: int
     sent: int = 0
@@ -92,49 +103,49 @@
     false_not_run: list = dataclasses.field(default_factory=list)
 
     def clean(self):
-        """Tell whether nothing was found."""
-        found = (self.lost, self.doubled, self.cut, self.false_not_run)
-        return not any(found)
+        """Return whether the run had no findings."""
+        findings = (self.lost, self.doubled, self.cut, self.false_not_run)
+        return not any(findings)
 
 
-class _Engine(engine.Engine):
-    """A stand-in that takes down which numbers it ran."""
+class _RecordingEngine(engine.Engine):
+    """A simulated engine that records the numbers of its requests."""
 
-    def __init__(self, name, domain, runs, began):
-        super().__init__(name, domain, ["small"], SLOTS, PACE)
+    def __init__(self, name, domain, runs, begun_ids):
+        super().__init__(name, domain, ["small"], ENGINE_SLOTS, ENGINE_PACE)
         self._runs = runs
-        self._began = began
+        self._begun_ids = begun_ids
 
     def begin(self, stream, ask):
-        """Take down the number in the prompt, then run it."""
+        """Record the number in the prompt, then run the request."""
         number = int(ask.messages[0].content.split()[-1])
         self._runs[number] += 1
-        self._began.add(stream.request_id)
+        self._begun_ids.add(stream.request_id)
         super().begin(stream, ask)
 
 
 class Audit:
-    """One run from start to report."""
+    """One run, from the start of the processes to the report."""
 
     def __init__(self, plan):
         self.plan = plan
         self.rng = random.Random(plan.seed)
         self.runs = collections.Counter()
-        self.began = set()
+        self.begun_ids = set()
         self.cases = []
         self._paths = []
         self._deployment = None
-        # Grows with each kill, by instance.
+        # The number of kills so far, by instance.
         self._kills = collections.Counter()
         self._down = set()
 
     def run(self):
-        """Send everything and return the report."""
+        """Send all requests and return the report."""
         with contextlib.ExitStack() as stack:
-            deployed = processes.Deployment(NAMES, DOMAINS)
+            deployed = processes.Deployment(INSTANCE_NAMES, DOMAINS)
             self._deployment = stack.enter_context(deployed)
             self._start_engines(stack)
-            self._apply()
+            self._apply_configuration()
             gevent.sleep(SETTLE_SECONDS)
             self._send_all(stack)
         return self.report()
@@ -142,22 +153,24 @@
     def _start_engines(self, stack):
         addresses = self._deployment.addresses("backend_servers")
         for index, domain in enumerate(DOMAINS):
-            made = _Engine(f"e{index + 1}", domain, self.runs, self.began)
-            made.faults = faults.Faults(
+            simulated = _RecordingEngine(
+                f"e{index + 1}", domain, self.runs, self.begun_ids
+            )
+            simulated.faults = faults.Faults(
                 f"{self.plan.seed}-{index}", self.plan.fault_rate
             )
-            made.start()
-            stack.callback(made.stop)
-            path = stack.enter_context(paths.Path(made.url))
-            made.announced_url = path.url
+            simulated.start()
+            stack.callback(simulated.stop)
+            path = stack.enter_context(paths.Path(simulated.url))
+            simulated.announced_url = path.url
             self._paths.append(path)
-            announcer = gevent.spawn(made.announce, addresses)
+            announcer = gevent.spawn(simulated.announce, addresses)
             stack.callback(announcer.kill)
 
-    def _apply(self):
+    def _apply_configuration(self):
         organisations = {
             "audit": {
-                "keys": [engine.key_hash(KEY)],
+                "keys": [engine.key_hash(API_KEY)],
                 "classes": list(CLASSES),
                 "default_class": "lookup",
             }
@@ -173,69 +186,75 @@
         ):
             for name, spec in objects.items():
                 servers[0].put(kind, name, spec)
-        demo.wait_until(lambda: all(_is_up(server) for server in servers))
+        demo.wait_until(lambda: all(_is_ready(server) for server in servers))
 
     def _send_all(self, stack):
         workers = pool.Pool(self.plan.concurrency)
-        disturb = self._disturbances()
+        fault_actions = self._draw_fault_actions()
         for number in range(self.plan.requests):
-            if number in disturb:
+            if number in fault_actions:
                 workers.wait_available()
-                stack.callback(gevent.spawn(disturb[number]).join)
-            case = self._case(number)
+                stack.callback(gevent.spawn(fault_actions[number]).join)
+            case = self._draw_case(number)
             self.cases.append(case)
-            workers.spawn(self._send, case, self.rng.randrange(len(NAMES)))
+            workers.spawn(
+                self._send, case, self.rng.randrange(len(INSTANCE_NAMES))
+            )
         workers.join()
 
-    def _disturbances(self):
-        """Return what else goes wrong, by the number it comes before."""
+    def _draw_fault_actions(self):
+        """Return fault actions by the request number that they precede."""
         plan = self.plan
-        actions = [self._lose_path] * plan.path_losses
-        actions += [self._kill] * plan.kills
-        chosen = self.rng.sample(
+        actions = [self._drop_path_connections] * plan.path_losses
+        actions += [self._kill_instance] * plan.kills
+        request_numbers = self.rng.sample(
             range(plan.requests // 5, plan.requests), len(actions)
         )
-        return dict(zip(chosen, actions, strict=True))
+        return dict(zip(request_numbers, actions, strict=True))
 
-    def _lose_path(self):
+    def _drop_path_connections(self):
         self.rng.choice(self._paths).lose()
 
-    def _kill(self):
-        index = self.rng.randrange(len(NAMES))
+    def _kill_instance(self):
+        index = self.rng.randrange(len(INSTANCE_NAMES))
         self._kills[index] += 1
         self._down.add(index)
-        held = self._deployment.instances[index]
-        held.process.send_signal(signal.SIGKILL)
-        held.process.wait()
-        self._deployment.start(index, held.addresses)
+        instance = self._deployment.instances[index]
+        instance.process.send_signal(signal.SIGKILL)
+        instance.process.wait()
+        self._deployment.start(index, instance.addresses)
         self._down.discard(index)
 
-    def _case(self, number):
+    def _draw_case(self, number):
         kind = self.rng.randrange(4)
         return Case(
             number,
             "lookup" if kind < 2 else "summary",
             f"key-{self.plan.seed}-{number}" if kind == 3 else "",
             self.rng.random() < 0.7,
-            self.rng.randint(1, MOST_TOKENS),
+            self.rng.randint(1, MAX_TOKENS),
         )
 
     def _send(self, case, index):
-        """Send a request; one with a key again, until its end is known."""
-        for _ in range(MOST_SENDS if case.key else 1):
+        """Send a request.
+
+        A request with an idempotency key is sent again until its outcome is
+        known.
+        """
+        for _ in range(MAX_SENDS if case.key else 1):
             kills, down = self._kills[index], index in self._down
-            answer = client.send(self._ask(case, index))
+            answer = client.send(self._caller_request(case, index))
             case.orphaned = down or self._kills[index] != kills
             case.answers.append(answer)
             if answer.complete or answer.status == 409:
                 return
-            index = (index + 1) % len(NAMES)
-            gevent.sleep(RESEND_SECONDS)
+            index = (index + 1) % len(INSTANCE_NAMES)
+            gevent.sleep(RESEND_DELAY_SECONDS)
 
-    def _ask(self, case, index):
+    def _caller_request(self, case, index):
         return client.Ask(
             self._deployment.instances[index].addresses["callers"],
-            KEY,
+            API_KEY,
             case.class_name,
             f"audit {case.number}",
             stream=case.streamed,
@@ -244,43 +263,43 @@
         )
 
     def report(self):
-        """Hold what the callers got against what the engines ran."""
-        made = Report(self.plan.seed, len(self.cases))
+        """Compare the callers' answers with the engines' records."""
+        report = Report(self.plan.seed, len(self.cases))
         outcomes = collections.Counter()
         for case in self.cases:
-            self._judge(case, made)
-            outcomes[_end_of(case)] += 1
-            made.resent += len(case.answers) - 1
-            made.orphaned += case.orphaned
-        made.outcomes = dict(sorted(outcomes.items()))
-        made.reruns = sum(count - 1 for count in self.runs.values())
-        return made
-
-    def _judge(self, case, made):
+            self._check_case(case, report)
+            outcomes[_final_outcome(case)] += 1
+            report.resent += len(case.answers) - 1
+            report.orphaned += case.orphaned
+        report.outcomes = dict(sorted(outcomes.items()))
+        report.reruns = sum(count - 1 for count in self.runs.values())
+        return report
+
+    def _check_case(self, case, report):
         runs = self.runs[case.number]
         if case.class_name == "summary" and runs > 1:
-            made.doubled.append(case.number)
+            report.doubled.append(case.number)
         for answer in case.answers:
             if answer.complete and answer.text != case.text:
-                made.cut.append(case.number)
+                report.cut.append(case.number)
             if answer.outcome == "not-run" and (
-                answer.request_id in self.began
+                answer.request_id in self.begun_ids
             ):
-                made.false_not_run.append(case.number)
+                report.false_not_run.append(case.number)
         last = case.answers[-1]
         if not last.complete and not last.outcome and not case.orphaned:
-            made.lost.append(case.number)
+            report.lost.append(case.number)
         if last.complete and not runs:
-            made.lost.append(case.number)
+            report.lost.append(case.number)
 
 
-def _is_up(server):
+def _is_ready(server):
     status = server.get("status")
     listed = server.get("organisations")["items"]
     return bool(listed) and (status["serving_backend_servers"] == len(DOMAINS))
 
 
-def _end_of(case):
+def _final_outcome(case):
     last = case.answers[-1]
     if last.complete:
         return "complete"
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/audit_command.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/audit_command.py
@@ -1,4 +1,4 @@
-"""``dandelionctl lab audit``: are all outcomes true?"""
+"""The command ``dandelionctl lab audit``."""
 
 import rich.console
 import rich.table
@@ -31,32 +31,32 @@
     path_losses: int = 2,
     kills: int = 1,
 ):
-    """Send numbered requests with faults, and compare both ends.
+    """Send numbered requests under faults and verify all outcomes.
 
-    Starts three instances and three stand-in engines.  Engines refuse,
-    close, break, crash and fail on purpose; paths lose their connections;
-    an instance is killed and started anew.  Exits with 1 where an answer
-    was lost, work that must not be repeated ran twice, a text was cut or
-    "not run" was said of a request that an engine had begun.
+    Starts three instances and three simulated engines.  Engines refuse, close,
+    break, crash and fail on purpose, network paths lose their connections, and
+    an instance is killed and restarted.  Exits with 1 if an answer was lost,
+    work that must not be repeated ran twice, a text was truncated, or "not
+    run" was reported of a request that an engine had begun.
 
     Example: dandelionctl lab audit --requests 500 --seeds 3
 
     Parameters
     ----------
     requests
-        How many requests each seed sends.
+        The number of requests per seed.
     seeds
-        How many runs, each with a seed of its own.
+        The number of runs, each with its own seed.
     first_seed
-        The first seed; a seed draws the same requests and faults again.
+        The first seed; the same seed draws the same requests and faults.
     concurrency
-        How many requests are under way at once.
+        The maximum number of concurrent requests.
     fault_rate
         The share of requests that an engine fails on purpose.
     path_losses
-        How often in a run a path loses track of its connections.
+        How often per run a path loses the state of its connections.
     kills
-        How often in a run an instance is killed.
+        How often per run an instance is killed.
     """
     console = rich.console.Console()
     reports = []
@@ -66,12 +66,12 @@
         )
         report = audit_module.Audit(plan).run()
         reports.append(report)
-        console.print(_line(report))
+        console.print(_summary(report))
     console.print(_table(reports))
     return 0 if all(report.clean() for report in reports) else 1
 
 
-def _line(report):
+def _summary(report):
     return f"seed {report.seed}: {report.outcomes}"
 
 
@@ -86,10 +86,10 @@
     return (
         report.seed,
         report.sent,
-        _count(report, "complete"),
-        _count(report, "not-run"),
-        _count(report, "unknown"),
-        _count(report, "no answer"),
+        _count_outcomes(report, "complete"),
+        _count_outcomes(report, "not-run"),
+        _count_outcomes(report, "unknown"),
+        _count_outcomes(report, "no answer"),
         report.resent,
         report.reruns,
         len(report.lost),
@@ -99,9 +99,9 @@
     )
 
 
-def _count(report, start):
+def _count_outcomes(report, prefix):
     return sum(
         count
         for name, count in report.outcomes.items()
-        if name.startswith(start)
+        if name.startswith(prefix)
     )
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/commands.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/commands.py
@@ -1,4 +1,4 @@
-"""``dandelionctl lab``: the commands of the lab."""
+"""The commands of ``dandelionctl lab``."""
 
 import cyclopts
 
@@ -10,7 +10,9 @@
 from .policy import command as policy_command
 from .soak import run as soak_run
 
-app = cyclopts.App(name="lab", help="Stand-ins, load and experiments.")
+app = cyclopts.App(
+    name="lab", help="Simulated backend servers, load and experiments."
+)
 app.command(capacity.app)
 app.command(policy_command.policy)
 
@@ -27,7 +29,7 @@
     step_ms: float = 10.0,
     token: str = "",
 ):
-    """Run a stand-in engine that announces itself, until interrupted.
+    """Run a simulated engine that announces itself, until interrupted.
 
     Example: dandelionctl lab engine e1 --announce-to 127.0.0.1:8001
 
@@ -36,32 +38,32 @@
     name
         The name of the backend server.
     announce_to
-        Addresses of the backend-server listeners, taken in turn.
+        The addresses of the backend-server listeners, used in turn.
     failure_domain
-        The failure domain that it says it is in.
+        The failure domain that it announces.
     model
-        A model that it has loaded; may be given more than once.
+        A loaded model; may be given more than once.
     slots
-        How many streams it runs at once.
+        The maximum number of concurrent streams.
     port
-        The port to listen on; 0 picks one.
+        The port to listen on; 0 picks a free one.
     step_ms
-        The time of an empty step, in milliseconds.
+        The time of a step with an empty batch, in milliseconds.
     token
         The bearer token for announcements.
     """
     pace = batch.Pace(step=step_ms / 1000.0)
-    served = engine_module.Engine(
+    simulated = engine_module.Engine(
         name, failure_domain, list(model), slots, pace
     )
-    served.start(port)
-    print(f"{name} listens on {served.url}", flush=True)
-    served.announce(list(announce_to), token)
+    simulated.start(port)
+    print(f"{name} listens on {simulated.url}", flush=True)
+    simulated.announce(list(announce_to), token)
 
 
 @app.command
 def demo():
-    """Run three instances and stand-in engines, and show what they do.
+    """Run three instances with simulated engines and show how they work.
 
     Example: dandelionctl lab demo
     """
@@ -70,16 +72,18 @@
 
 @app.command
 def soak(*, seconds: float = 60.0, seed: int = 1):
-    """Kill, freeze and drain nine instances under load; check promises.
+    """Run nine instances under load and faults; check all guarantees.
+
+    Instances are killed, frozen and drained.
 
     Example: dandelionctl lab soak --seconds 120 --seed 7
 
     Parameters
     ----------
     seconds
-        How long faults are caused.
+        For how long faults are injected.
     seed
-        Draws the faults and the requests.
+        The seed of the faults and the requests.
     """
     return soak_run.run(seconds, seed)
 
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/gossip_models.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/gossip_models.py
@@ -1,9 +1,9 @@
-"""Models of dissemination, to weigh them before any is built.
+"""Models of message dissemination, to compare designs.
 
-The first two reproduce the tables of the notes "scalable secure
-scuttlebutt": rounds until one message reaches everybody by gossip, and
-hops and messages of a broadcast over K random links.  The others count
-what the same news costs over this system's links.
+The first two reproduce the tables of the notes "scalable secure scuttlebutt":
+the rounds until a message has reached everybody by gossip, and the hops and
+messages of a broadcast over K random links.  The others count the cost of the
+same message over this system's links.
 """
 
 import collections
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Broadcast:
-    """One broadcast: hops to the last, mean hops, and messages sent."""
+    """Peers reached, hops to the last, mean hops and messages sent."""
 
     reached: int
     hops: int
@@ -21,13 +21,12 @@
 
 
 def gossip_rounds(peers, rng):
-    """Return how many know a message after each round.
+    """Return how many peers know a message after each round.
 
-    In each round every peer in turn connects to one other at random, and
-    where one of the two knows the message, afterwards both do; so a message
-    may go on within the round in which it came.  The notes' table grows
-    sixfold a round, which only this order gives, not the doubling that
-    their text expects.
+    In each round every peer in turn connects to one random peer.  If one of
+    the two knows the message, afterwards both do, so a message may travel
+    several hops in one round.  The table in the notes grows sixfold per round,
+    which only this order reproduces, not the doubling that their text expects.
     """
     knows = [False] * peers
     knows[rng.randrange(peers)] = True
@@ -42,11 +41,11 @@
 
 
 def random_links(peers, count, rng):
-    """Return the links where each peer chooses ``count`` others.
+    """Return the links when each peer chooses ``count`` others.
 
-    Links are used both ways.  Each peer chooses among those before it, and
-    may choose one twice: only so does one link each reach everybody, as in
-    the notes, and come out the same number of messages.
+    Links are bidirectional.  Each peer chooses among the peers before it and
+    may choose one twice.  Only this reproduces the notes: with one link each,
+    everybody is reached and the number of messages is the same.
     """
     links = [set() for _ in range(peers)]
     for peer in range(1, peers):
@@ -58,9 +57,10 @@
 
 
 def broadcast(links, origin=0):
-    """Return what it costs to flood a message over ``links``.
+    """Return the cost of flooding a message over ``links``.
 
-    Whoever hears it first passes it to all links but the one it came by.
+    A peer forwards the first copy to all its links except the one it came
+    over.
     """
     hops = {origin: 0}
     messages = 0
@@ -80,10 +80,10 @@
 
 
 def tree_broadcast(links, origin=0):
-    """Return the cost of a broadcast tree, and of its lazy notes.
+    """Return the cost of a broadcast tree and its number of notes.
 
-    The tree is the one that a first flood leaves behind; over all other
-    links goes a note that the message exists.
+    The tree consists of the links that a first flood used to reach a new peer.
+    Each other link carries a short note that the message exists.
     """
     flood = broadcast(links, origin)
     notes = flood.messages - (flood.reached - 1)
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/pure_nodes.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/pure_nodes.py
@@ -1,8 +1,8 @@
-"""Many reducers in one process, joined by queues in place of sockets.
+"""Many reducers in one process, connected by queues instead of sockets.
 
-For what must be counted or timed over more instances than a machine has
-room for as processes.  Time is a number that :meth:`Network.run` moves on,
-so a run depends on its seed alone.
+This is for counting or timing with more instances than a machine can run as
+processes.  Time is virtual and advances in :meth:`Network.run`, so a run
+depends only on its seed.
 """
 
 import collections
@@ -19,14 +19,14 @@
 
 STEPS_PER_SECOND = 100
 STEPS_PER_TICK = 10
-# Head of a request and whole answer of one batch, as counted on
-# loopback; bodies are encoded and counted as they are.
-HTTP_BYTES = 219 + 109
+# Bytes of the request head and of the whole response of one batch, as counted
+# on loopback.  Bodies are encoded and counted as they are.
+HTTP_OVERHEAD_BYTES = 219 + 109
 
 
 @dataclasses.dataclass(slots=True)
 class Cost:
-    """What one node sent, received and worked; bytes with HTTP."""
+    """Counters of one node; bytes include HTTP overhead."""
 
     batches: int = 0
     messages: int = 0
@@ -36,8 +36,8 @@
 
 
 @dataclasses.dataclass(slots=True, order=True)
-class _Sent:
-    """A batch on its way, ordered by when it arrives."""
+class _InFlightBatch:
+    """A batch in flight, ordered by its time of arrival."""
 
     due: float
     number: int
@@ -48,7 +48,10 @@
 
 
 class Node:
-    """One reducer, its clock and what it spent."""
+    """One reducer with its clock and its cost counters.
+
+    ``skew`` is the offset of its clock in seconds.
+    """
 
     def __init__(self, name, domain, region, seeds, rng, skew=0.0, **options):
         self.name = name
@@ -72,7 +75,11 @@
 
 
 class Network:
-    """Delivers messages between nodes with delay, loss and cuts."""
+    """Delivers messages between nodes with delay, loss and partitions.
+
+    ``delay`` is the mean delay in seconds and ``loss`` the share of batches
+    that are lost.
+    """
 
     def __init__(self, seed=0, delay=0.002, loss=0.0, count_bytes=False):
         self.now = 0.0
@@ -83,7 +90,7 @@
         self.rng = random.Random(seed)
         self._count_bytes = count_bytes
         self._queue = []
-        self._order = 0
+        self._batch_number = 0
         self._steps = 0
 
     def add(
@@ -95,9 +102,11 @@
         skew=0.0,
         **options,
     ):
-        """Start a node that knows some of those already there.
+        """Start a node.
 
-        ``options`` are those of ``dandeliontrail.new_reducer``.
+        ``seeds`` are the addresses of nodes that it knows, by default up to
+        three existing ones.  ``options`` are those of
+        ``dandeliontrail.new_reducer``.
         """
         if seeds is None:
             seeds = [item for item in list(self.nodes)[:3] if item != name]
@@ -108,7 +117,7 @@
         return node
 
     def separate(self, one_side, other_side, both_ways=True):
-        """Drop all that the nodes of one side send to the other."""
+        """Drop all messages from one side to the other."""
         for one in one_side:
             for other in other_side:
                 self.cut.add((one, other))
@@ -116,18 +125,18 @@
                     self.cut.add((other, one))
 
     def heal(self):
-        """Let every message through again."""
+        """End all partitions."""
         self.cut.clear()
 
     def apply(self, node, event):
-        """Hand an event to a node and carry out what it wants to send."""
-        began = time.process_time()
+        """Apply an event to a node and send the resulting messages."""
+        started = time.process_time()
         out = node.reducer.apply(event, self.now + node.skew)
-        node.cost.busy_seconds += time.process_time() - began
+        node.cost.busy_seconds += time.process_time() - started
         self._carry_out(node, out)
 
     def announce(self, node, announcement):
-        """Let a backend server announce itself to ``node``."""
+        """Deliver a backend server's announcement to ``node``."""
         self.apply(node, events.Announced(announcement))
 
     def _carry_out(self, node, out):
@@ -139,13 +148,13 @@
             self._send(node, address, batch)
 
     def _sender(self, node):
-        own = node.state.identity
+        identity = node.state.identity
         return messages.Sender(
-            own.instance,
-            own.address,
-            own.failure_domain,
-            own.region,
-            own.incarnation,
+            identity.instance,
+            identity.address,
+            identity.failure_domain,
+            identity.region,
+            identity.incarnation,
             self.now + node.skew,
         )
 
@@ -153,33 +162,39 @@
         sender = self._sender(node)
         node.cost.batches += 1
         node.cost.messages += len(batch)
-        size = self._count(node, sender, batch) if self._count_bytes else 0
+        size = (
+            self._count_batch(node, sender, batch) if self._count_bytes else 0
+        )
         if (node.name, address) in self.cut:
             return
         if self.loss and self.rng.random() < self.loss:
             return
         due = self.now + self.delay * (0.5 + self.rng.random())
-        self._order += 1
-        sent = _Sent(due, self._order, address, sender, batch, size)
-        heapq.heappush(self._queue, sent)
+        self._batch_number += 1
+        in_flight = _InFlightBatch(
+            due, self._batch_number, address, sender, batch, size
+        )
+        heapq.heappush(self._queue, in_flight)
 
-    def _count(self, node, sender, batch):
-        began = time.process_time()
+    def _count_batch(self, node, sender, batch):
+        started = time.process_time()
         body = codec.encode(codec.Envelope(sender, batch))
-        node.cost.busy_seconds += time.process_time() - began
-        size = len(body) + HTTP_BYTES
+        node.cost.busy_seconds += time.process_time() - started
+        size = len(body) + HTTP_OVERHEAD_BYTES
         node.cost.bytes += size
-        empty = len(codec.encode(codec.Envelope(sender, [])))
+        envelope_size = len(codec.encode(codec.Envelope(sender, [])))
         for message in batch:
-            whole = len(codec.encode(codec.Envelope(sender, [message])))
-            node.by_kind[type(message).__name__] += whole - empty
+            message_size = len(codec.encode(codec.Envelope(sender, [message])))
+            node.by_kind[type(message).__name__] += (
+                message_size - envelope_size
+            )
         return size
 
     def run(self, seconds, watch=None):
-        """Let time pass: deliver what is due and tick every node.
+        """Advance time: deliver messages when due and tick every node.
 
-        Each node ticks ten times a second at a phase of its own.  ``watch``
-        is called a hundred times a second, if it is given.
+        Each node ticks ten times per second at its own phase.  ``watch``, if
+        given, is called a hundred times per second.
         """
         for _ in range(round(seconds * STEPS_PER_SECOND)):
             self._step()
@@ -197,19 +212,19 @@
                 self._tick(node)
 
     def _tick(self, node):
-        began = time.process_time()
+        started = time.process_time()
         out = node.reducer.tick(self.now + node.skew)
-        node.cost.busy_seconds += time.process_time() - began
+        node.cost.busy_seconds += time.process_time() - started
         self._carry_out(node, out)
 
     def _deliver(self, until):
         while self._queue and self._queue[0].due <= until:
-            sent = heapq.heappop(self._queue)
-            self.now = max(self.now, sent.due)
-            node = self.nodes.get(sent.address)
+            in_flight = heapq.heappop(self._queue)
+            self.now = max(self.now, in_flight.due)
+            node = self.nodes.get(in_flight.address)
             if node is None or not node.up:
                 continue
-            node.cost.received_bytes += sent.size
-            for message in sent.batch:
-                event = events.PeerMessageReceived(sent.sender, message)
+            node.cost.received_bytes += in_flight.size
+            for message in in_flight.batch:
+                event = events.PeerMessageReceived(in_flight.sender, message)
                 self.apply(node, event)
--- a/tests/cover/test_audit.py
+++ b/tests/cover/test_audit.py
@@ -1,4 +1,4 @@
-"""A short audit with real instances, and what its report catches."""
+"""A short audit of real instances, and what its report detects."""
 
 from dandeliontrail_lab import audit
 from dandeliontrail_lab import client
@@ -18,24 +18,24 @@
     return case
 
 
-def judged(answer, runs=1, began=(), class_name="summary"):
-    made = audit.Audit(audit.Plan())
-    made.cases = [case_with(answer, class_name)]
-    made.runs[0] = runs
-    made.began = set(began)
-    return made.report()
+def report_on(answer, runs=1, begun_ids=(), class_name="summary"):
+    audited = audit.Audit(audit.Plan())
+    audited.cases = [case_with(answer, class_name)]
+    audited.runs[0] = runs
+    audited.begun_ids = set(begun_ids)
+    return audited.report()
 
 
-def test_report_catches_each_kind_of_false_outcome():
-    whole = client.Answer(200, text="w0 w1 w2 ", complete=True)
-    assert judged(whole).clean()
-    assert judged(whole, runs=2).doubled == [0]
-    assert judged(whole, runs=2, class_name="lookup").clean()
-    assert judged(whole, runs=0).lost == [0]
-    cut = client.Answer(200, text="w0 w1 ", complete=True)
-    assert judged(cut).cut == [0]
+def test_report_detects_each_kind_of_false_outcome():
+    complete = client.Answer(200, text="w0 w1 w2 ", complete=True)
+    assert report_on(complete).clean()
+    assert report_on(complete, runs=2).doubled == [0]
+    assert report_on(complete, runs=2, class_name="lookup").clean()
+    assert report_on(complete, runs=0).lost == [0]
+    truncated = client.Answer(200, text="w0 w1 ", complete=True)
+    assert report_on(truncated).cut == [0]
     silent = client.Answer(0, error="timed out")
-    assert judged(silent).lost == [0]
-    denied = client.Answer(503, outcome="not-run", request_id="r")
-    assert judged(denied, runs=0).clean()
-    assert judged(denied, began=["r"]).false_not_run == [0]
+    assert report_on(silent).lost == [0]
+    not_run = client.Answer(503, outcome="not-run", request_id="r")
+    assert report_on(not_run, runs=0).clean()
+    assert report_on(not_run, begun_ids=["r"]).false_not_run == [0]
