--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/audit.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/audit.py
@@ -83,12 +83,13 @@
 class Report:
     """The findings of one run.
 
-    The last four fields are lists of request numbers: ``lost`` without an
-    outcome, ``doubled`` if work that must not be repeated ran twice, ``cut``
-    if a complete answer had the wrong text, and ``false_not_run`` if "not run"
-    was reported of a request that an engine had begun.  ``reruns`` counts the
-    repeated runs of all requests, ``orphaned`` the requests whose instance was
-    killed.
+    The last four fields are lists of request numbers.  ``lost`` has the
+    requests without an outcome, unless their instance was killed, and those
+    with a complete answer that no engine ran.  ``doubled`` has those that must
+    not be repeated and ran twice, ``cut`` those whose complete answer had the
+    wrong text, and ``false_not_run`` those reported as "not run" although an
+    engine had begun them.  ``reruns`` counts the repeated runs of all
+    requests, ``orphaned`` the requests whose instance was killed.
     """
 
     seed: int
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/flows.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/flows.py
@@ -110,7 +110,7 @@
     deployment.reset()
     deployment.run(MEASURED_SECONDS)
     ordinary, _ = deployment.split()
-    steady = deployment.spent(ordinary, MEASURED_SECONDS).bytes
+    steady = deployment.resource_rates(ordinary, MEASURED_SECONDS).bytes
     return [
         _measure_domain_loss(deployment, size, steady),
         _measure_region_rejoin(deployment, size, steady),
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/limit_breaches.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/limit_breaches.py
@@ -11,7 +11,10 @@
 from . import model
 
 LEASE_ENTRY_BYTES = 250.0
+# The share of histogram memory that is left if an organisation keeps two of
+# its four histograms.
 NARROW_HISTOGRAM_SHARE = 0.5
+# The share of a publisher's own usage rows that no relay has folded yet.
 UNACKNOWLEDGED_SHARE = 0.1
 FAILURE_DOMAINS = 10
 
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/members_costs.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/members_costs.py
@@ -176,7 +176,7 @@
         relays = [item for item in self.nodes if is_relay(item)]
         return [item for item in self.nodes if not is_relay(item)], relays
 
-    def spent(self, nodes, seconds):
+    def resource_rates(self, nodes, seconds):
         """Return the rates of ``nodes`` over ``seconds`` since the reset."""
         if not nodes:
             return None
@@ -238,8 +238,8 @@
     ordinary, relays = deployment.split()
     return (
         deployment,
-        deployment.spent(ordinary, seconds),
-        deployment.spent(relays, seconds),
+        deployment.resource_rates(ordinary, seconds),
+        deployment.resource_rates(relays, seconds),
     )
 
 
