--- a/packages/dandeliontrail-node/src/dandeliontrail_node/__init__.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/__init__.py
@@ -1,3 +1,3 @@
-"""``dandeliond``: one instance, around the pure reducer of the library."""
+"""``dandeliond``: runs one instance around the library's pure reducer."""
 
 __version__ = "0.1.0"
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/disk.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/disk.py
@@ -1,16 +1,16 @@
-"""The data folder of a keeper: one log file, checked and synced.
+"""The data folder of a keeper: an append-only log with checksums.
 
 Layout of the folder::
 
     lock       held by the one process that uses the folder
     log        a header, then frames
-    log.new    a log being written by ``replace``; of no account
+    log.new    a log that ``replace`` is writing; ignored at the start
 
-The header is a line with the format's name and version and the folder's
-identity.  A frame is ``MARK``, the length and the CRC-32 of its payload,
-and the payload: a JSON array of records.  All records of one ``append`` are
-one frame, so a crash in the middle of it leaves at most one bad frame, the
-last.  The first frame is the checkpoint.
+The header is a line with the name and version of the format and the identity
+of the folder.  A frame consists of ``MARK``, the length and the CRC-32 of its
+payload, and the payload, a JSON array of records.  One ``append`` writes all
+its records as one frame, so a crash during it damages at most the last frame.
+The first frame holds the checkpoint.
 """
 
 import contextlib
@@ -33,14 +33,15 @@
 MARK = b"\xd7LG\x01"
 _FRAME = struct.Struct("<4sII")
 _HEADER = re.compile(rb"([a-z-]+) (\d+) ([0-9a-f]{32})\n")
-_LONGEST_HEADER = 128
+_MAX_HEADER_BYTES = 128
 
-# What the kernel says of a disk without room, or of a user's share of it.
-FULL = (errno.ENOSPC, errno.EDQUOT)
-FREE_THE_DISK = (
-    "make room on the disk, or mend it; the instance goes on by itself then"
+# Errors for a full disk and for an exhausted disk quota.
+DISK_FULL_ERRORS = (errno.ENOSPC, errno.EDQUOT)
+FREE_DISK_REMEDY = (
+    "free space on the disk, or repair it; the instance then continues by"
+    " itself"
 )
-REPLACE_KEEPER = (
+REPLACE_KEEPER_REMEDY = (
     "stop the instance, move the folder away and bring the keeper back as a"
     " new one; see docs/operators/keepers.md"
 )
@@ -52,8 +53,8 @@
 class Frame(msgspec.Struct):
     """The payload of a frame; ``checkpoint`` is null in all but the first.
 
-    The field is no ``Raw | None``, which msgspec encodes and then refuses
-    to decode.
+    The type of the field is not ``Raw | None``, because msgspec encodes such
+    a field but refuses to decode it.
     """
 
     records: list[msgspec.Raw]
@@ -61,91 +62,93 @@
 
 
 class FileStorage(interfaces.Storage):
-    """An append-only file in a folder of its own.
+    """An append-only log file in a folder of its own.
 
-    ``folder`` is the identity that the folder was given when it was new.
-    Raises :class:`dandeliontrail.StorageError` where the folder cannot be
-    used, and of its kinds :class:`dandeliontrail.StorageRefused` where the
-    disk takes no writes at present.  After a refused write every later one
-    is refused too, until :meth:`recover` has taken back what it left::
+    ``folder`` is the identity that the folder got when it was created.
+    Raises :class:`dandeliontrail.StorageError` if the folder cannot be used,
+    and its subclass :class:`dandeliontrail.StorageRefused` if the disk
+    accepts no writes at present.  After a refused write all later writes are
+    refused too, until :meth:`recover` has removed what the write left::
 
         try:
             storage.append(records)
         except dandeliontrail.StorageRefused:
-            storage.recover()  # Raises the same while the disk refuses.
+            storage.recover()  # Raises StorageRefused while the disk does.
             storage.append(records)
     """
 
     def __init__(self, data_dir):
         self._path = pathlib.Path(data_dir)
-        self._broken = ""
+        self._refusal = ""
         self._file = None
-        # Up to where the file was synced: all that was ever promised.
+        # Length of the synced part: everything that was acknowledged.
         self._synced_bytes = 0
         self.folder = ""
         with contextlib.ExitStack() as stack:
-            with _explained(self._path):
+            with _storage_errors(self._path):
                 self._path.mkdir(parents=True, exist_ok=True)
                 _sync_folder(self._path.parent)
-                self._lock(stack)
+                self._acquire_lock(stack)
                 stack.callback(self._close_file)
                 self._loaded = self._open()
             self._stack = stack.pop_all()
 
     def load(self):
-        """Return ``(checkpoint, records)`` as they were when opened."""
+        """Return ``(checkpoint, records)`` as read when the log was opened."""
         return self._loaded
 
     def append(self, records):
-        """Write ``records`` as one frame; return once they are synced."""
-        with self._refusing():
+        """Write ``records`` as one frame and sync them before returning."""
+        with self._guarded_write():
             data = _frame(records)
             _write_all(self._file, data)
             os.fdatasync(self._file.fileno())
             self._synced_bytes += len(data)
 
     def replace(self, checkpoint, records):
-        """Write a new log with ``checkpoint`` and put it in place."""
-        with self._refusing():
+        """Atomically replace the log by ``checkpoint`` and ``records``."""
+        with self._guarded_write():
             self._write_new(checkpoint, records)
 
     def recover(self):
-        """Take back what a refused write left; then write again.
-
-        Failure guarded against: a disk that was full for some seconds.  What
-        a failed write or sync left behind it is unknown, and a second sync
-        may report success without having written it (Rebello et al., "Can
-        Applications Recover from fsync Failures?", 2020).  So the file is
-        cut back to where a sync had succeeded, and whoever wrote writes the
-        same again: only bytes written after the failure are synced then.
-        Raises :class:`dandeliontrail.StorageRefused` while the disk refuses,
-        and another :class:`dandeliontrail.StorageError` for good where less
-        is there than was promised.
+        """Undo a refused write, so that writing can continue.
+
+        It guards against a disk that is full for some seconds.  What a
+        failed write or sync has left in the file is unknown, and a second
+        sync may report success without having written it (Rebello et al.,
+        "Can Applications Recover from fsync Failures?", 2020).  So the file
+        is truncated to the length of the last successful sync and the caller
+        repeats its write: only bytes written after the failure are synced
+        then.
+
+        Raises :class:`dandeliontrail.StorageRefused` while the disk refuses
+        writes, and another :class:`dandeliontrail.StorageError`, which is
+        permanent, if the file is shorter than what was synced.
         """
-        with self._refusing(again=True):
+        with self._guarded_write(recovering=True):
             handle = self._file.fileno()
             held = os.fstat(handle).st_size
             if held < self._synced_bytes:
                 raise dandeliontrail.StorageError(
                     f"{self._path}/log has {held} bytes of"
                     f" {self._synced_bytes} that were synced.",
-                    REPLACE_KEEPER,
+                    REPLACE_KEEPER_REMEDY,
                 )
             os.ftruncate(handle, self._synced_bytes)
             os.lseek(handle, self._synced_bytes, os.SEEK_SET)
             os.fsync(handle)
             _sync_folder(self._path)
-        self._broken = ""
+        self._refusal = ""
 
     def close(self):
-        """Release the folder."""
+        """Close the log and release the lock of the folder."""
         self._stack.close()
 
     def _close_file(self):
         if self._file:
             self._file.close()
 
-    def _lock(self, stack):
+    def _acquire_lock(self, stack):
         lock = stack.enter_context((self._path / "lock").open("w"))
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -163,18 +166,19 @@
         data = path.read_bytes()
         start = self._read_header(data)
         checkpoint, records = self._read_frames(data, start)
-        # What was read may be in the kernel's memory alone: after a failed
-        # sync its pages count as clean and are lost with the power.  Written
-        # anew and synced, it may be promised; a torn end goes with it.
+        # The data that was read may exist only in the page cache: after a
+        # failed sync the kernel marks its pages clean, and a power loss
+        # drops them.  So the log is rewritten and synced before anything is
+        # acknowledged, which also removes a torn tail.
         self._write_new(checkpoint, records)
         return checkpoint, records
 
     def _read_header(self, data):
-        found = _HEADER.match(data[:_LONGEST_HEADER])
+        found = _HEADER.match(data[:_MAX_HEADER_BYTES])
         if not found or found[1].decode() != FORMAT:
             raise dandeliontrail.StorageError(
                 f"{self._path}/log does not begin with the header of a log.",
-                REPLACE_KEEPER,
+                REPLACE_KEEPER_REMEDY,
             )
         if int(found[2]) != FORMAT_VERSION:
             raise dandeliontrail.StorageError(
@@ -188,42 +192,42 @@
     def _read_frames(self, data, start):
         checkpoint = b""
         records = []
-        at = start
-        while at < len(data):
-            payload = _payload_at(data, at)
+        offset = start
+        while offset < len(data):
+            payload = _payload_at(data, offset)
             if payload is None:
-                self._check_torn(data, at, start)
+                self._check_torn(data, offset, start)
                 break
             frame = msgspec.json.decode(payload, type=Frame)
             if bytes(frame.checkpoint) != NULL:
                 checkpoint = bytes(frame.checkpoint)
             records.extend(bytes(item) for item in frame.records)
-            at += _FRAME.size + len(payload)
+            offset += _FRAME.size + len(payload)
         return checkpoint, records
 
-    def _check_torn(self, data, at, start):
-        """Refuse a bad frame that is not the last.
+    def _check_torn(self, data, offset, start):
+        """Raise ``StorageError`` for a bad frame that is not the last.
 
-        An append that a crash cut short was never acknowledged and may be
-        dropped.  Damage further up is another matter: what follows it was
-        acknowledged, and leaving out a part would break the promise that
-        this keeper gave; so it is never skipped.
+        An append that was interrupted by a crash was never acknowledged and
+        may be dropped.  Damage before good frames must not be skipped: the
+        frames after it were acknowledged, so skipping a part would lose
+        records that this keeper has acknowledged.
         """
-        following = data.find(MARK, at + 1)
-        while following >= 0:
-            if _payload_at(data, following) is not None:
+        next_mark = data.find(MARK, offset + 1)
+        while next_mark >= 0:
+            if _payload_at(data, next_mark) is not None:
                 raise dandeliontrail.StorageError(
-                    f"{self._path}/log is damaged at byte {at}, with good"
-                    f" records after it at byte {following}.",
-                    REPLACE_KEEPER,
+                    f"{self._path}/log is damaged at byte {offset}, with good"
+                    f" records after it at byte {next_mark}.",
+                    REPLACE_KEEPER_REMEDY,
                 )
-            following = data.find(MARK, following + 1)
-        if at == start:
-            # The first frame was in place before the file got its name.
+            next_mark = data.find(MARK, next_mark + 1)
+        if offset == start:
+            # The first frame was complete before the file was renamed.
             raise dandeliontrail.StorageError(
-                f"{self._path}/log is damaged at byte {at}, in its"
+                f"{self._path}/log is damaged at byte {offset}, in its"
                 " checkpoint.",
-                REPLACE_KEEPER,
+                REPLACE_KEEPER_REMEDY,
             )
 
     def _write_new(self, checkpoint, records):
@@ -240,34 +244,39 @@
             self._file.close()
         self._file = file
         self._synced_bytes = len(data)
-        # Without this the rename itself may be lost in a crash, and with it
-        # every append to the new file.
+        # Without this sync a crash may lose the rename, and with it every
+        # append to the new file.
         _sync_folder(self._path)
 
     @contextlib.contextmanager
-    def _refusing(self, again=False):
-        """Refuse every write after one that failed, until ``again``.
+    def _guarded_write(self, recovering=False):
+        """Turn an ``OSError`` into ``StorageRefused``, then refuse writes.
 
-        After a failed sync the kernel may drop the pages and report
-        success the next time, so a mere second sync proves nothing.
+        After a failure every write is refused, except with ``recovering``:
+        after a failed sync the kernel may drop the pages and report success
+        the next time, so a second sync alone proves nothing.
         """
-        if self._broken and not again:
-            raise dandeliontrail.StorageRefused(self._broken, FREE_THE_DISK)
+        if self._refusal and not recovering:
+            raise dandeliontrail.StorageRefused(
+                self._refusal, FREE_DISK_REMEDY
+            )
         try:
             yield
         except OSError as exc:
-            self._broken = f"{self._path} took no write: {exc.strerror}."
-            raise dandeliontrail.StorageRefused(self._broken, FREE_THE_DISK)
+            self._refusal = f"{self._path} refused a write: {exc.strerror}."
+            raise dandeliontrail.StorageRefused(
+                self._refusal, FREE_DISK_REMEDY
+            )
 
 
 @contextlib.contextmanager
-def _explained(path):
+def _storage_errors(path):
     try:
         yield
     except OSError as exc:
-        if exc.errno in FULL:
+        if exc.errno in DISK_FULL_ERRORS:
             raise dandeliontrail.StorageRefused(
-                f"{path} took no write: {exc.strerror}.", FREE_THE_DISK
+                f"{path} refused a write: {exc.strerror}.", FREE_DISK_REMEDY
             )
         raise dandeliontrail.StorageError(
             f"{path} cannot be used: {exc.strerror}.",
@@ -278,12 +287,12 @@
 def _write_all(file, data):
     """Write all of ``data`` to an unbuffered file.
 
-    A buffer would keep what the disk refused, and write it later in front
-    of what is written then.
+    A buffered file would keep the bytes that the disk refused and write them
+    before the data of the next call.
     """
-    left = memoryview(data)
-    while left:
-        left = left[file.write(left) :]
+    remaining = memoryview(data)
+    while remaining:
+        remaining = remaining[file.write(remaining) :]
 
 
 def _frame(records, checkpoint=None):
@@ -293,12 +302,12 @@
     return _FRAME.pack(MARK, len(payload), zlib.crc32(payload)) + payload
 
 
-def _payload_at(data, at):
-    """Return the payload of a whole and good frame at ``at``, or None."""
-    if at + _FRAME.size > len(data):
+def _payload_at(data, offset):
+    """Return the payload of a complete, valid frame at ``offset``, or None."""
+    if offset + _FRAME.size > len(data):
         return None
-    mark, length, checksum = _FRAME.unpack_from(data, at)
-    start = at + _FRAME.size
+    mark, length, checksum = _FRAME.unpack_from(data, offset)
+    start = offset + _FRAME.size
     if mark != MARK or start + length > len(data):
         return None
     payload = data[start : start + length]
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/disk_writer.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/disk_writer.py
@@ -1,8 +1,8 @@
-"""Carries the log's writes to the disk without holding up the loop.
+"""Writes the replicated log to disk without blocking the event loop.
 
-A sync takes milliseconds, and on a bad day seconds, while streams want a
-token every 29 ms.  So the one system call that waits runs on a thread of
-the hub's pool; the reducer and all its state stay on the loop's thread.
+A sync takes milliseconds, sometimes seconds, while streams deliver a token
+every 29 ms.  So the blocking system calls run on a thread of the gevent hub's
+thread pool; the reducer and all its state stay on the thread of the loop.
 """
 
 import collections
@@ -18,49 +18,50 @@
 
 
 class DiskWriter:
-    """Does writes in order, joining those that gathered meanwhile."""
+    """Executes writes in order and batches those that are queued."""
 
     def __init__(self, storage, submit, logger):
         self._storage = storage
         self._submit = submit
-        self._waiting = collections.deque()
-        self._filled = gevent_event.Event()
+        self._queue = collections.deque()
+        self._has_work = gevent_event.Event()
         self._greenlet = gevent.spawn(self._write_forever)
-        # One write at a time, so that none overtakes another.
-        self._writes = patient_writes.PatientWrites(storage, logger)
+        # One write at a time, so that writes are not reordered.
+        self._writer = patient_writes.RetryingWriter(storage, logger)
 
     def put(self, effect):
         """Queue an ``AppendLog`` or ``ReplaceLog``.
 
-        A ``ReplaceLog`` holds all that was to be written before it, so that
-        what waits for a disk that refuses stays as small as the log.
+        A ``ReplaceLog`` contains everything queued before it, so the queue
+        is cleared: while the disk refuses writes, it never grows larger than
+        the log.
         """
         if isinstance(effect, effects.ReplaceLog):
-            self._waiting.clear()
-        self._waiting.append(effect)
-        self._filled.set()
+            self._queue.clear()
+        self._queue.append(effect)
+        self._has_work.set()
 
     def close(self):
-        """Finish the write under way, unless it is refused, and stop."""
-        self._writes.give_up()
-        self._waiting.append(None)
-        self._filled.set()
+        """Finish the current write, unless the disk refuses it, and stop."""
+        self._writer.stop_retrying()
+        self._queue.append(None)
+        self._has_work.set()
         self._greenlet.join()
 
     def _write_forever(self):
         while True:
-            self._filled.wait()
-            self._filled.clear()
-            while self._waiting:
-                if self._waiting[0] is None:
+            self._has_work.wait()
+            self._has_work.clear()
+            while self._queue:
+                if self._queue[0] is None:
                     return
                 if not self._write_next():
                     return
 
     def _write_next(self):
-        ticket, call, args = self._next()
+        ticket, call, args = self._dequeue()
         try:
-            if not self._writes.carry_out(call, args):
+            if not self._writer.execute(call, args):
                 return False
         except dandeliontrail.StorageError as exc:
             self._submit(events.StorageFailed(str(exc)))
@@ -68,18 +69,19 @@
         self._submit(events.LogSynced(ticket))
         return True
 
-    def _next(self):
-        """Return the next write; appends in a row share one sync."""
-        first = self._waiting.popleft()
+    def _dequeue(self):
+        """Dequeue the next write; consecutive appends share one sync.
+
+        Returns its ticket, the method of the storage and the arguments.
+        """
+        first = self._queue.popleft()
         if isinstance(first, effects.ReplaceLog):
             args = (first.checkpoint, first.records)
             return first.ticket, self._storage.replace, args
         ticket = first.ticket
         records = list(first.records)
-        while self._waiting and isinstance(
-            self._waiting[0], effects.AppendLog
-        ):
-            following = self._waiting.popleft()
-            ticket = following.ticket
-            records.extend(following.records)
+        while self._queue and isinstance(self._queue[0], effects.AppendLog):
+            next_append = self._queue.popleft()
+            ticket = next_append.ticket
+            records.extend(next_append.records)
         return ticket, self._storage.append, (records,)
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/drain.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/drain.py
@@ -1,10 +1,10 @@
-"""The graceful end of an instance.
+"""The graceful shutdown of an instance.
 
-From the first moment of a drain ``readyz`` says 503.  New requests are
-still served until the platform's balancer has noticed; after that they are
-refused as not run.  What was taken in is finished, queued or streaming, and
-nothing of it is cut before the longest drain is over.  Then each caller
-that still waits is told what is true of its request.
+As soon as a drain begins, ``readyz`` returns 503.  New requests are still
+served until the platform's load balancer has noticed; after that they are
+refused as not run.  Accepted requests, queued or streaming, are finished and
+none is interrupted before the maximum duration of a drain.  Then each caller
+that still waits is told the actual outcome of its request.
 """
 
 import gevent
@@ -15,24 +15,24 @@
 
 
 class Drain:
-    """Whether, and how far, this instance is on its way out."""
+    """The progress of the shutdown of this instance."""
 
     def __init__(self, limits):
         self._limits = limits
         self.draining = False
         self.refusing = False
-        self.hurried = False
+        self.end_at_once = False
 
     def begin(self):
-        """Start to drain; a second call ends it at once."""
-        self.hurried = self.draining
+        """Start to drain; a second call ends the drain at once."""
+        self.end_at_once = self.draining
         self.draining = True
 
-    def closing(self, app):
-        """Wrap a WSGI application: while draining, each reply is the last.
+    def close_connections(self, app):
+        """Wrap a WSGI application to close connections while draining.
 
-        A kept connection would bring its next request here, past the
-        balancer.
+        On a persistent connection the next request would bypass the load
+        balancer and arrive here.
         """
 
         def wrapped(environ, start_response):
@@ -48,23 +48,26 @@
         return wrapped
 
     def wait(self, host):
-        """Return when nothing is left in flight or the limit is reached."""
+        """Block until no request is in flight or ``drain_seconds`` are over.
+
+        The requests that are left then are ended.
+        """
         with gevent.Timeout(self._limits.drain_seconds, False):
-            self._notice()
+            self._wait_for_balancer()
             self.refusing = True
-            while host.open_exchanges() and not self.hurried:
+            while host.open_exchanges() and not self.end_at_once:
                 gevent.sleep(POLL_SECONDS)
         self.refusing = True
-        self._cut_short(host)
+        self._end_remaining(host)
 
-    def _notice(self):
-        left = self._limits.drain_notice_seconds
-        while left > 0 and not self.hurried:
+    def _wait_for_balancer(self):
+        remaining = self._limits.drain_notice_seconds
+        while remaining > 0 and not self.end_at_once:
             gevent.sleep(POLL_SECONDS)
-            left -= POLL_SECONDS
+            remaining -= POLL_SECONDS
 
-    def _cut_short(self, host):
-        """End what is left, and give the callers time to be told."""
+    def _end_remaining(self, host):
+        """End the remaining requests and allow time for their replies."""
         for exchange in host.exchanges():
             host.submit(events.CutShort(exchange.request_id))
         with gevent.Timeout(self._limits.last_words_seconds, False):
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/host.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/host.py
@@ -1,7 +1,7 @@
-"""Carries events to the reducer and its effects to the outside.
+"""Feeds events to the reducer and executes the effects that it returns.
 
-All runs on one thread in one gevent loop, and :meth:`Host.submit` does not
-yield to the loop while the reducer works, so that no two events interleave.
+Everything runs on one thread in one gevent loop.  :meth:`Host.submit` does
+not yield to the loop while the reducer runs, so no two events interleave.
 """
 
 import collections
@@ -17,28 +17,34 @@
 from . import problems
 from . import request_log
 
-# The reducer's timers are in tenths of a second and above.
+# Tick interval in seconds; the reducer's timers are 0.1 s and longer.
 TICK = 0.1
-# Until an instance has its state it ticks more often: its callers wait, and
-# each step of its start (greet, ask, fetch) takes a tick.  One that is cut
-# off stops hurrying after a while.
-START_TICK = 0.025
-START_SECONDS = 2.0
+# An instance ticks faster until it has the replicated state: callers are
+# waiting, and each step of the start (greet, ask, fetch) takes one tick.  An
+# instance that reaches no peer returns to the normal rate after
+# ``START_PHASE_SECONDS``.
+START_TICK_SECONDS = 0.025
+START_PHASE_SECONDS = 2.0
 
 
 class Host:
-    """One instance: its reducer and all that its effects touch."""
+    """The runtime of one instance: its reducer and everything it acts on.
+
+    ``peer_link`` sends messages to other instances, ``engines`` sends
+    requests to backend servers; the disks, the connection pools and the
+    client for platform calls are attached later.
+    """
 
     def __init__(self, reducer, clock, peer_link, engines, metrics, logger):
         self.reducer = reducer
         self.clock = clock
         self.metrics = metrics
         self.logger = logger
-        self._requests = request_log.RequestLog(logger, metrics.counters)
+        self._request_log = request_log.RequestLog(logger, metrics.counters)
         self._peer_link = peer_link
         self._engines = engines
         self._exchanges = {}
-        self._writes = {}
+        self._pending_writes = {}
         self._disk = None
         self._order_client = order_client.OrderClient(
             reducer.state.orders.lease, clock, self.submit
@@ -47,14 +53,14 @@
         self._duty_client = None
         self._pools = []
         self._queue = collections.deque()
-        self._busy = False
-        self._day = ""
+        self._applying = False
+        self._current_day = ""
         self._version = 0
         self._version_changed = gevent_event.Event()
-        self._carry_out = {
-            effects.Dispatch: self._to_exchange,
-            effects.Refuse: self._to_exchange,
-            effects.Replay: self._to_exchange,
+        self._effect_handlers = {
+            effects.Dispatch: self._deliver_to_exchange,
+            effects.Refuse: self._deliver_to_exchange,
+            effects.Replay: self._deliver_to_exchange,
             effects.Abandon: self._abandon,
             effects.CutOff: self._cut_off,
             effects.Cancel: self._cancel,
@@ -62,8 +68,8 @@
             effects.GiveOrder: self._give_order,
             effects.PerformDuty: self._perform_duty,
             effects.SendPeer: self._send_peer,
-            effects.WriteAnswered: self._answer_write,
-            effects.VoterAnswered: self._answer_voter_change,
+            effects.WriteAnswered: self._deliver_write_result,
+            effects.VoterAnswered: self._deliver_voter_change_result,
             effects.AppendLog: self._write_log,
             effects.ReplaceLog: self._write_log,
             effects.AppendUsage: self._write_usage,
@@ -74,74 +80,81 @@
 
     @property
     def state(self):
-        """The shared state of the reducer, to be read only."""
+        """The state of the reducer; callers must not modify it."""
         return self.reducer.state
 
     def attach_disk(self, writer):
-        """Carry the log's writes to ``writer``."""
+        """Send the writes of the replicated log to ``writer``."""
         self._disk = writer
 
-    def attach_usage_disk(self, keeping):
-        """Take in the usage on a disk and carry new usage to it."""
-        self._usage_disk = keeping
-        self.submit(keeping.load())
+    def attach_usage_disk(self, usage_writer):
+        """Load the usage stored on disk; later usage is written there."""
+        self._usage_disk = usage_writer
+        self.submit(usage_writer.load())
 
     def attach_connections(self, pool):
-        """Have ``pool`` drop its connections to servers that are gone."""
+        """Register a connection pool.
+
+        It is told to drop its connections to servers that have gone away.
+        """
         self._pools.append(pool)
 
     def attach_duty_client(self, client):
-        """Make calls to the platform through ``client``."""
+        """Use ``client`` for calls to the platform."""
         self._duty_client = client
 
     def start(self, address):
-        """Tell the reducer where this instance is reached and tick on."""
+        """Tell the reducer its own address and start the tick greenlet."""
         self._read_clock()
         self.submit(events.Started(address))
         return gevent.spawn(self._tick_forever)
 
     def _read_clock(self):
-        """Tell the reducer the time of day, by which usage is kept."""
+        """Tell the reducer the wall-clock time, by which usage is counted."""
         if self.state.duties.options.reports_usage:
             self.submit(events.ClockRead(time.time()))
         day = time.strftime("%Y-%m-%d", time.gmtime())
-        if day != self._day:
-            self._day = day
+        if day != self._current_day:
+            self._current_day = day
             self.submit(events.DayBegan(day))
 
     def submit(self, event):
-        """Apply ``event`` and carry out all effects.
+        """Apply ``event`` and execute all resulting effects.
 
-        An event submitted by an effect waits until the one before it is
-        done, so that effects come out in the order of their causes.
+        An event submitted while an effect is executed is queued until the
+        current event is done, so effects run in the order of their causes.
         """
         self._queue.append(event)
-        if self._busy:
+        if self._applying:
             return
-        self._busy = True
+        self._applying = True
         try:
             while self._queue:
                 self._apply(self._queue.popleft())
         finally:
-            self._busy = False
+            self._applying = False
 
     def take_in(self, envelope):
-        """Submit each message of a batch from another instance."""
+        """Submit every message of a batch from another instance."""
         for message in envelope.messages:
             self.submit(events.PeerMessageReceived(envelope.sender, message))
 
     def _apply(self, event):
         now = self.clock.now()
-        self._requests.event(event, now)
+        self._request_log.event(event, now)
         try:
-            out = self.reducer.apply(event, now)
+            emitted = self.reducer.apply(event, now)
         except Exception as exc:
-            self._fault(event, exc)
+            self._handle_failure(event, exc)
             return
-        self._run(out)
+        self._execute(emitted)
+
+    def _handle_failure(self, event, exc):
+        """Log an exception of the reducer and count it.
 
-    def _fault(self, event, exc):
-        """Keep one faulty event from taking the instance down."""
+        One event that fails must not end the instance.  If it belongs to a
+        request, the exchange is told that no answer will come.
+        """
         self.metrics.counters["faults_total"] += 1
         name = type(event).__name__
         fields = {"event": name, "error": str(exc)}
@@ -150,11 +163,11 @@
         if exchange:
             exchange.fault()
 
-    def _run(self, out):
-        for effect in out:
-            self._carry_out[type(effect)](effect)
-        if out:
-            self._requests.effects(out, self.clock.now())
+    def _execute(self, emitted):
+        for effect in emitted:
+            self._effect_handlers[type(effect)](effect)
+        if emitted:
+            self._request_log.effects(emitted, self.clock.now())
         if self.state.store.version != self._version:
             self._version = self.state.store.version
             changed = self._version_changed
@@ -162,67 +175,72 @@
             changed.set()
 
     def wait_version(self, seen, seconds):
-        """Wait until a version after ``seen`` is applied; tell if it is."""
+        """Wait until a version above ``seen`` is applied.
+
+        Returns whether that happened within ``seconds``.
+        """
         if self.state.store.version <= seen:
             self._version_changed.wait(seconds)
         return self.state.store.version > seen
 
     def _tick_forever(self):
-        """Tick at once, since the seeds are greeted then, and on."""
-        hurried_until = self.clock.now() + START_SECONDS
+        """Tick periodically; the first tick, at once, greets the seeds."""
+        fast_until = self.clock.now() + START_PHASE_SECONDS
         while True:
             self._read_clock()
             try:
-                self._run(self.reducer.tick(self.clock.now()))
+                self._execute(self.reducer.tick(self.clock.now()))
             except Exception as exc:
-                self._fault(self.reducer, exc)
-            calm = self.state.log.ready or self.clock.now() > hurried_until
-            gevent.sleep(TICK if calm else START_TICK)
+                self._handle_failure(self.reducer, exc)
+            at_normal_rate = (
+                self.state.log.ready or self.clock.now() > fast_until
+            )
+            gevent.sleep(TICK if at_normal_rate else START_TICK_SECONDS)
 
     def life(self, request_id):
-        """Return the life of a request that has not ended, or ``None``."""
+        """Return the state of a request that has not ended, or ``None``."""
         return self.reducer.lives.get(request_id)
 
     def is_current(self, dispatch):
-        """Tell whether a dispatch still stands.
+        """Return whether the attempt of a dispatch is still wanted.
 
-        What it is about may have ended, or have been let go, since the reducer
-        decided it.
+        The request may have ended, or the attempt may have been abandoned,
+        since the reducer decided on the dispatch.
         """
         life = self.life(dispatch.request_id)
         return life is not None and life.has_attempt(dispatch.attempt)
 
     def attach(self, exchange):
-        """Route effects for a request to its exchange."""
+        """Deliver the effects for a request to its exchange."""
         self._exchanges[exchange.request_id] = exchange
 
     def detach(self, exchange, side):
-        """Take note that one side left; forget it when both have."""
+        """Record that one side is done; drop the exchange after both are."""
         exchange.sides.discard(side)
         if not exchange.sides:
             self._exchanges.pop(exchange.request_id, None)
 
     def exchanges(self):
-        """Return the exchanges of the requests that are under way."""
+        """Return the exchanges of all requests in progress."""
         return list(self._exchanges.values())
 
     def open_exchanges(self):
-        """Return how many requests are under way."""
+        """Return the number of requests in progress."""
         return len(self._exchanges)
 
     def waiting(self):
-        """Return how many requests of each class wait in queues."""
+        """Return the number of queued requests of each class."""
         return self.reducer.waiting()
 
     def expect_write(self, write_id, result):
-        """Deliver the answer of a write to ``result``, an async result."""
-        self._writes[write_id] = result
+        """Register ``result``, an async result, for the outcome of a write."""
+        self._pending_writes[write_id] = result
 
     def forget_write(self, write_id):
-        """Stop waiting for the answer of a write."""
-        self._writes.pop(write_id, None)
+        """Unregister the async result of a write."""
+        self._pending_writes.pop(write_id, None)
 
-    def _to_exchange(self, effect):
+    def _deliver_to_exchange(self, effect):
         exchange = self._exchanges.get(effect.request_id)
         if exchange:
             exchange.put(effect)
@@ -253,13 +271,13 @@
     def _send_peer(self, effect):
         self._peer_link.send(effect.address, effect.message)
 
-    def _answer_write(self, effect):
-        waiting = self._writes.pop(effect.write_id, None)
+    def _deliver_write_result(self, effect):
+        waiting = self._pending_writes.pop(effect.write_id, None)
         if waiting:
             waiting.set(effect.result)
 
-    def _answer_voter_change(self, effect):
-        waiting = self._writes.pop(effect.request_id, None)
+    def _deliver_voter_change_result(self, effect):
+        waiting = self._pending_writes.pop(effect.request_id, None)
         if waiting:
             waiting.set(effect)
 
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/instance.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/instance.py
@@ -1,4 +1,4 @@
-"""Puts one instance together and owns all that must be closed."""
+"""Assembles one instance and owns every resource that must be closed."""
 
 import contextlib
 import pathlib
@@ -36,12 +36,17 @@
 from .listeners import peers
 
 
-# The last messages go out over connections that are already open.
+# Time for the final messages to be sent; the connections are open already.
 LEAVE_SECONDS = 0.1
 
 
 class Instance:
-    """One running instance; use it as a context manager."""
+    """One instance, running between ``__enter__`` and ``__exit__``.
+
+    ``face`` provides the listeners beside the peer listener; by default it is
+    :class:`.standard_face.StandardFace`.  Without ``settings_path``, SIGHUP
+    does not reload the log level.
+    """
 
     def __init__(self, cfg, logger, settings_path=None, face=None):
         self._cfg = cfg
@@ -57,7 +62,7 @@
         self.addresses = {}
 
     def __enter__(self):
-        """Open every listener and start to serve."""
+        """Open all listeners and start serving."""
         with self._stack:
             self._build()
             self._listen()
@@ -66,7 +71,7 @@
         return self
 
     def __exit__(self, *exc_info):
-        """Close all, in the reverse order of opening."""
+        """Close all resources in the reverse order of opening."""
         return self._stack.__exit__(*exc_info)
 
     def _build(self):
@@ -79,13 +84,13 @@
             cfg.region,
             time.time_ns(),
         )
-        ticking = clock.MonotonicClock()
-        measured = metrics.Metrics()
+        monotonic = clock.MonotonicClock()
+        registry = metrics.Metrics()
         link = peer_link.HttpPeerLink(
             identity,
             self._key,
-            ticking,
-            measured.counters,
+            monotonic,
+            registry.counters,
             limits.peer_bytes_per_second,
             lambda: self._tls.client_context("peers"),
         )
@@ -99,10 +104,10 @@
         usage_storage = self._open_storage("usage")
         self.host = host_module.Host(
             self._new_reducer(identity, storage),
-            ticking,
+            monotonic,
             link,
             self._engines,
-            measured,
+            registry,
             self._logger,
         )
         link.take_in = self.host.take_in
@@ -113,17 +118,20 @@
             self._stack.callback(writer.close)
             self.host.attach_disk(writer)
         if usage_storage:
-            keeping = usage_disk.UsageDisk(usage_storage, self._logger)
-            self._stack.callback(keeping.close)
-            self.host.attach_usage_disk(keeping)
+            usage_writer = usage_disk.UsageDisk(usage_storage, self._logger)
+            self._stack.callback(usage_writer.close)
+            self.host.attach_usage_disk(usage_writer)
 
     def _open_storage(self, folder=""):
-        """Return the storage in a part of the data folder, if any."""
+        """Return the storage in ``folder`` of the data folder.
+
+        Returns ``None`` on an instance without a disk.
+        """
         keeper = self._cfg.keeper
         if keeper is None:
             return None
         path = pathlib.Path(keeper.data_dir) / folder
-        storage = patient_writes.opened(
+        storage = patient_writes.open_when_writable(
             lambda: disk.FileStorage(path), self._logger
         )
         self._stack.callback(storage.close)
@@ -168,8 +176,10 @@
         ]
         for item in listeners:
             server = http_server.Server(
-                _held_listener(item.address) or item.address,
-                self.drain_state.closing(wsgi.guard(item.app, self._logger)),
+                _take_early_socket(item.address) or item.address,
+                self.drain_state.close_connections(
+                    wsgi.guard(item.app, self._logger)
+                ),
                 item.limits or self._cfg.limits,
                 self._logger,
                 lambda: self.drain_state.draining,
@@ -191,7 +201,7 @@
         self._logger.info("listening", extra=addresses)
 
     def run(self):
-        """Serve until SIGTERM, then drain."""
+        """Serve until SIGTERM or SIGINT, then drain."""
         gevent.signal_handler(signal.SIGTERM, self.on_term)
         gevent.signal_handler(signal.SIGINT, self.on_term)
         gevent.signal_handler(signal.SIGHUP, self.reload)
@@ -203,32 +213,33 @@
         self._logger.info("drained")
 
     def drain(self):
-        """Finish what was taken in, then leave the others."""
+        """Finish the accepted requests, then leave the group of instances."""
         self.begin_drain()
         self.drain_state.wait(self.host)
         self._leave()
 
     def _leave(self):
-        """Tell the others, and give the message time to go out."""
+        """Announce the departure and allow time for sending the message."""
         self.host.submit(events.Left())
         gevent.sleep(LEAVE_SECONDS)
 
     def begin_drain(self):
-        """Be no longer ready, from this moment on."""
+        """Report that this instance is no longer ready."""
         if not self.drain_state.draining:
             self.drain_state.begin()
             self.host.state.draining = True
 
     def on_term(self):
-        """Start to drain; the second time, end at once."""
+        """Start to drain; a second call stops at once."""
         self.drain_state.begin()
         self.host.state.draining = True
         self._stopping.set()
 
     def reload(self):
-        """Read keys, tokens, certificates and the log level again.
+        """Reload keys, tokens, certificates and the log level.
 
-        What cannot be read stays as it was, and the rest is reloaded.
+        A part that cannot be read keeps its present value; the others are
+        reloaded.
         """
         for part in (*self._face.reloadable(), self._key, self._tls):
             self._reload_part(part.reload)
@@ -248,8 +259,8 @@
         self._logger.setLevel(cfg.log.level.upper())
 
 
-def _held_listener(address):
-    """Return the socket that listens at ``address`` already, if one does."""
+def _take_early_socket(address):
+    """Return the listening socket that was opened early, or ``None``."""
     descriptor = early_listener.take(address)
     if descriptor is None:
         return None
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/main.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/main.py
@@ -28,16 +28,16 @@
 
 @app.default
 def main(*, settings: pathlib.Path, check: bool = False):
-    """Run one instance until SIGTERM.
+    """Run one instance until it receives SIGTERM.
 
     Example: dandeliond --settings /etc/dandeliontrail/instance.yaml
 
     Parameters
     ----------
     settings
-        The YAML file with the settings of this instance.
+        The YAML file that holds the settings of this instance.
     check
-        Check the settings and exit.
+        Check the settings without starting the instance, then exit.
     """
     logger = jsonlog.make_logger("dandeliond", "info", "")
     try:
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/patient_writes.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/patient_writes.py
@@ -1,11 +1,11 @@
-"""Carries out writes on a disk that may refuse them for a while.
-
-A full disk refuses every write, for seconds or for hours.  Whoever writes
-here waits: nothing is acknowledged meanwhile, since nothing is synced, and
-the instance goes on serving from memory.  What waits is bounded by the log
-itself, of which a new checkpoint takes the place.  Ending the process, to
-start anew once the disk works, would cost a voter that has all its state,
-and the callers of its listeners.
+"""Retries writes on a disk that may refuse them for a while.
+
+A full disk refuses all writes, for seconds or hours.  The writer blocks
+meanwhile: nothing is synced, so nothing is acknowledged, and the instance
+continues to serve from memory.  The queued writes are bounded by the size of
+the log, since a new checkpoint replaces them.  Ending the process and
+restarting it once the disk works would lose a voter that has all its state,
+and the connections of its callers.
 """
 
 import time
@@ -14,64 +14,65 @@
 
 import dandeliontrail
 
-# How often a disk that refuses is asked again: a keeper is back within so
-# long of its disk, and a cut and two syncs four times a second cost nothing.
-INTERVAL = 0.25
+# Retry interval: a keeper resumes at most this long after its disk accepts
+# writes again; a truncation and two syncs four times a second cost little.
+RETRY_INTERVAL_SECONDS = 0.25
 
 
-class PatientWrites:
-    """Does writes on a thread of the hub's pool, again while refused."""
+class RetryingWriter:
+    """Executes writes on a thread of the hub's pool, with retries."""
 
     def __init__(self, storage, logger):
         self._storage = storage
         self._logger = logger
         self._pool = gevent.get_hub().threadpool
-        self._closing = False
+        self._stopped = False
 
-    def give_up(self):
-        """Give up a write that is refused, as the process is to end."""
-        self._closing = True
+    def stop_retrying(self):
+        """Stop retrying a refused write, because the process ends."""
+        self._stopped = True
 
-    def carry_out(self, call, args):
-        """Return whether the write was taken, once that is known.
+    def execute(self, call, args):
+        """Call ``call(*args)`` until the disk accepts the write.
 
-        Raises :class:`dandeliontrail.StorageError` where the storage is lost.
+        Returns false if :meth:`stop_retrying` was called before that.  Raises
+        :class:`dandeliontrail.StorageError` if the storage is lost.
         """
         refused_at = None
         while True:
             steps = [(call, args)]
             if refused_at is not None:
                 steps.insert(0, (self._storage.recover, ()))
-            refused = self._pool.apply(_refusal_of, (steps,))
-            if refused is None:
+            refusal = self._pool.apply(_run_steps, (steps,))
+            if refusal is None:
                 if refused_at is not None:
-                    self._tell_taken(time.monotonic() - refused_at)
+                    self._log_accepted(time.monotonic() - refused_at)
                 return True
             if refused_at is None:
                 refused_at = time.monotonic()
-                self._tell_refused(refused)
-            if self._closing:
+                self._log_refused(refusal)
+            if self._stopped:
                 return False
-            gevent.sleep(INTERVAL)
+            gevent.sleep(RETRY_INTERVAL_SECONDS)
 
-    def _tell_refused(self, exc):
+    def _log_refused(self, exc):
         self._logger.error(
             "the disk refuses writes: nothing is acknowledged until it works",
             extra={"error": exc.message, "remedy": exc.remedy},
         )
 
-    def _tell_taken(self, seconds):
+    def _log_accepted(self, seconds):
         self._logger.warning(
             "the disk takes writes again",
             extra={"refused_seconds": round(seconds, 3)},
         )
 
 
-def _refusal_of(steps):
-    """Take ``steps`` on a thread; return why the disk refused, or None.
+def _run_steps(steps):
+    """Run ``steps`` on a pool thread; return the refusal of the disk or None.
 
-    It is returned and not raised: the pool would print the traceback of
-    whatever is raised on its threads, four times a second.
+    The exception is returned instead of raised, because the pool prints the
+    traceback of every exception on its threads, here four times a second.
     """
     try:
         for call, args in steps:
@@ -81,21 +82,22 @@
     return None
 
 
-def opened(new_storage, logger):
-    """Return ``new_storage()``, once the disk is not full any more.
+def open_when_writable(new_storage, logger):
+    """Return ``new_storage()``; retry while the disk is full.
 
-    A keeper that starts on a full disk cannot write anew what it read, and
-    may promise nothing.  Ending would only have it started again.
+    A keeper that starts on a full disk cannot rewrite the log that it has
+    read, so it cannot acknowledge anything.  If the process ended, it would
+    only be started again.
     """
-    told = False
+    logged = False
     while True:
         try:
             return new_storage()
         except dandeliontrail.StorageRefused as exc:
-            if not told:
-                told = True
+            if not logged:
+                logged = True
                 logger.error(
                     "the disk refuses writes: the start waits for it",
                     extra={"error": exc.message, "remedy": exc.remedy},
                 )
-            gevent.sleep(INTERVAL)
+            gevent.sleep(RETRY_INTERVAL_SECONDS)
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/usage_disk.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/usage_disk.py
@@ -1,8 +1,8 @@
-"""Keeps the usage ledger on the disk of a keeper.
+"""Stores the usage ledger on the disk of a keeper.
 
-Unlike the configuration, usage waits for no sync before it counts: copies
-in other failure domains are what a crash is survived by, and the disk is
-for the day on which all instances stop at once.
+Unlike the configuration, usage counts before it is synced: copies in other
+failure domains protect it against a crash, and the disk protects it against
+a simultaneous stop of all instances.
 """
 
 import typing
@@ -18,63 +18,67 @@
 
 from . import patient_writes
 
-_ENTRIES = msgspec.json.Decoder(
+_ENTRY_DECODER = msgspec.json.Decoder(
     typing.Union[usage.UsageRows, usage.UsageCheckpoint]
 )
-_SNAPSHOTS = msgspec.json.Decoder(usage.LedgerSnapshot)
+_SNAPSHOT_DECODER = msgspec.json.Decoder(usage.LedgerSnapshot)
 
 
 class UsageDisk:
-    """Writes usage in order, on a thread of the hub's pool."""
+    """Writes usage in order, on a thread of the gevent hub's pool."""
 
     def __init__(self, storage, logger):
         self._storage = storage
         self._logger = logger
-        self._writes = patient_writes.PatientWrites(storage, logger)
-        self._waiting = queue.SimpleQueue()
+        self._writer = patient_writes.RetryingWriter(storage, logger)
+        self._queue = queue.SimpleQueue()
         self._greenlet = gevent.spawn(self._write_forever)
 
     def load(self):
-        """Return what the disk holds as an event."""
+        """Return the stored usage as an ``events.UsageLoaded``.
+
+        Raises :class:`dandeliontrail.StorageError` if a record cannot be
+        decoded.
+        """
         checkpoint, records = self._storage.load()
         try:
             snapshot = usage.LedgerSnapshot([], [])
             if checkpoint:
-                snapshot = _SNAPSHOTS.decode(checkpoint)
-            journal = [_ENTRIES.decode(data) for data in records]
+                snapshot = _SNAPSHOT_DECODER.decode(checkpoint)
+            journal = [_ENTRY_DECODER.decode(data) for data in records]
         except msgspec.DecodeError as exc:
             raise dandeliontrail.StorageError(
-                f"The usage folder holds a record of another release: {exc}.",
+                f"The usage folder has a record of another release: {exc}.",
                 "run the release that wrote it, or a newer one",
             )
         return events.UsageLoaded(snapshot, journal)
 
     def put(self, effect):
         """Queue an ``AppendUsage`` or ``ReplaceUsage``."""
-        # Encoded now: the rows go on growing while the disk is busy.
+        # Encoded at once: the rows may change while the disk is busy.
         if isinstance(effect, effects.ReplaceUsage):
             data = msgspec.json.encode(effect.snapshot)
-            self._waiting.put((self._storage.replace, (data, [])))
+            self._queue.put((self._storage.replace, (data, [])))
         else:
             data = [msgspec.json.encode(item) for item in effect.entries]
-            self._waiting.put((self._storage.append, (data,)))
+            self._queue.put((self._storage.append, (data,)))
 
     def close(self):
-        """Finish the writes that wait, unless they are refused, and stop."""
-        self._writes.give_up()
-        self._waiting.put(None)
+        """Finish the queued writes, unless the disk refuses, and stop."""
+        self._writer.stop_retrying()
+        self._queue.put(None)
         self._greenlet.join()
 
     def _write_forever(self):
         while True:
-            work = self._waiting.get()
-            if work is None:
+            write = self._queue.get()
+            if write is None:
                 return
             try:
-                if not self._writes.carry_out(*work):
+                if not self._writer.execute(*write):
                     return
             except dandeliontrail.StorageError as exc:
-                # Usage goes on in memory, with its copies elsewhere.
+                # Usage is still kept in memory, with copies elsewhere.
                 self._logger.error(
                     "usage is no longer kept on disk",
                     extra={"error": str(exc)},
--- a/tests/cover/test_disk.py
+++ b/tests/cover/test_disk.py
@@ -1,4 +1,4 @@
-"""The data folder of a keeper under crashes, damage and failing calls."""
+"""The data folder of a keeper: crashes, corruption and failing calls."""
 
 import os
 import pathlib
@@ -12,13 +12,13 @@
 CHECKPOINT = b'{"state":"all"}'
 
 
-def open_folder(path):
+def open_storage(path):
     return disk.FileStorage(path)
 
 
-def filled(path):
-    """Return the log file of a folder with a checkpoint and appends."""
-    storage = open_folder(path)
+def write_sample_log(path):
+    """Write a checkpoint and two appends; return the path of the log."""
+    storage = open_storage(path)
     storage.replace(CHECKPOINT, RECORDS[:1])
     storage.append(RECORDS[1:2])
     storage.append(RECORDS[2:])
@@ -27,55 +27,55 @@
 
 
 def load(path):
-    storage = open_folder(path)
-    found = storage.load()
+    storage = open_storage(path)
+    loaded = storage.load()
     storage.close()
-    return found
+    return loaded
 
 
-def last_frame(data):
+def last_frame_offset(data):
     return data.rindex(disk.MARK)
 
 
 def test_can_read_back_what_was_synced(tmp_path):
-    filled(tmp_path)
+    write_sample_log(tmp_path)
     assert load(tmp_path) == (CHECKPOINT, RECORDS)
 
 
 def test_cuts_a_torn_tail_at_every_byte(tmp_path):
-    # Power fails in the middle of the last append.  It was never
-    # acknowledged, so the keeper comes up without it, and goes on.
-    log = filled(tmp_path)
+    # The power fails during the last append.  The append was not
+    # acknowledged, so the keeper starts without it and continues.
+    log = write_sample_log(tmp_path)
     data = log.read_bytes()
-    for length in range(last_frame(data), len(data)):
+    for length in range(last_frame_offset(data), len(data)):
         log.write_bytes(data[:length])
         assert load(tmp_path) == (CHECKPOINT, RECORDS[:2])
-        storage = open_folder(tmp_path)
+        storage = open_storage(tmp_path)
         storage.append([b'{"n":9}'])
         storage.close()
         assert load(tmp_path)[1] == [*RECORDS[:2], b'{"n":9}']
 
 
-def test_never_takes_a_damaged_last_record_for_good(tmp_path):
-    # One flipped bit anywhere in the last record: it is left out whole.
-    log = filled(tmp_path)
+def test_drops_a_damaged_last_record(tmp_path):
+    # One bit of the last frame is flipped: the whole frame is dropped.
+    log = write_sample_log(tmp_path)
     data = log.read_bytes()
-    for at in range(last_frame(data), len(data)):
+    for offset in range(last_frame_offset(data), len(data)):
         damaged = bytearray(data)
-        damaged[at] ^= 0x10
+        damaged[offset] ^= 0x10
         log.write_bytes(damaged)
         assert load(tmp_path) == (CHECKPOINT, RECORDS[:2])
 
 
 def test_refuses_a_damaged_middle_at_every_byte(tmp_path):
-    # A record that was acknowledged is damaged, with good ones after it.
-    # To skip it would break a promise; the keeper must not start.
-    log = filled(tmp_path)
+    # An acknowledged record is damaged and valid ones follow it.  Skipping it
+    # would lose acknowledged data, so the keeper must not start.
+    log = write_sample_log(tmp_path)
     data = log.read_bytes()
     first = data.index(disk.MARK)
-    for at in range(first, last_frame(data)):
+    for offset in range(first, last_frame_offset(data)):
         damaged = bytearray(data)
-        damaged[at] ^= 0x10
+        damaged[offset] ^= 0x10
         log.write_bytes(damaged)
         with pytest.raises(dandeliontrail.StorageError) as caught:
             load(tmp_path)
@@ -85,34 +85,34 @@
 
 
 def test_refuses_a_format_of_another_release(tmp_path):
-    log = filled(tmp_path)
+    log = write_sample_log(tmp_path)
     log.write_bytes(log.read_bytes().replace(b"-log 1 ", b"-log 2 ", 1))
     with pytest.raises(dandeliontrail.StorageError, match="format 2"):
         load(tmp_path)
 
 
 def test_does_not_share_a_folder(tmp_path):
-    storage = open_folder(tmp_path)
+    storage = open_storage(tmp_path)
     with pytest.raises(dandeliontrail.StorageError, match="another process"):
-        open_folder(tmp_path)
+        open_storage(tmp_path)
     storage.close()
     load(tmp_path)
 
 
 def test_folder_keeps_its_identity_and_a_new_one_gets_another(tmp_path):
-    names = []
+    identities = []
     for folder in ("a", "a", "b"):
-        storage = open_folder(tmp_path / folder)
-        names.append(storage.folder)
+        storage = open_storage(tmp_path / folder)
+        identities.append(storage.folder)
         storage.close()
-    assert names[0] == names[1] != names[2]
+    assert identities[0] == identities[1] != identities[2]
 
 
 @pytest.mark.parametrize("call", ["fdatasync", "fsync", "rename", "write"])
-def test_first_failing_call_is_the_last(tmp_path, monkeypatch, call):
-    # The disk fails once and seems well again at once.  What a failed sync
-    # has lost no later sync brings back, so the keeper must stop there.
-    storage = open_folder(tmp_path)
+def test_refuses_writes_after_a_failed_call(tmp_path, monkeypatch, call):
+    # One call fails and the disk seems to work again at once.  No later sync
+    # restores what a failed sync has lost, so later writes must be refused.
+    storage = open_storage(tmp_path)
     storage.replace(CHECKPOINT, RECORDS[:1])
 
     def fail(*args, **kwargs):
--- a/tests/cover/test_disk_comes_back.py
+++ b/tests/cover/test_disk_comes_back.py
@@ -1,4 +1,4 @@
-"""A keeper whose disk refused writes for a while comes back."""
+"""A keeper recovers after its disk has refused writes for a while."""
 
 import logging
 
@@ -13,81 +13,81 @@
 
 
 class FullDisk:
-    """Makes every write of this process fail while it is full."""
+    """Makes every write of this process fail while ``full`` is set."""
 
     def __init__(self, monkeypatch):
         self.full = False
         self._write_all = disk._write_all
         self._sync = disk.os.fdatasync
         self._sync_all = disk.os.fsync
-        monkeypatch.setattr(disk, "_write_all", self._writes)
-        monkeypatch.setattr(disk.os, "fdatasync", self._syncs)
-        monkeypatch.setattr(disk.os, "fsync", self._syncs_all)
+        monkeypatch.setattr(disk, "_write_all", self._write_or_fail)
+        monkeypatch.setattr(disk.os, "fdatasync", self._sync_or_fail)
+        monkeypatch.setattr(disk.os, "fsync", self._sync_all_or_fail)
 
-    def _refuse(self):
+    def _fail_if_full(self):
         if self.full:
             raise OSError(28, "No space left on device")
 
-    def _writes(self, file, data):
+    def _write_or_fail(self, file, data):
         if self.full:
-            # Some of it finds room before the disk is full.
+            # A part of the data still fits on the disk.
             self._write_all(file, data[: len(data) // 2])
-        self._refuse()
+        self._fail_if_full()
         self._write_all(file, data)
 
-    def _syncs(self, handle):
-        self._refuse()
+    def _sync_or_fail(self, handle):
+        self._fail_if_full()
         self._sync(handle)
 
-    def _syncs_all(self, handle):
-        self._refuse()
+    def _sync_all_or_fail(self, handle):
+        self._fail_if_full()
         self._sync_all(handle)
 
 
-def fill_up(held, monkeypatch):
-    """Append one record; then have the disk be full and refuse the next."""
-    held.append([b"1"])
+def fill_disk(storage, monkeypatch):
+    """Append one record, then fill the disk so that the next is refused."""
+    storage.append([b"1"])
     full = FullDisk(monkeypatch)
     full.full = True
     with pytest.raises(dandeliontrail.StorageRefused):
-        held.append([b"2"])
+        storage.append([b"2"])
     return full
 
 
 def test_a_keeper_holds_on_while_its_disk_is_full(monkeypatch):
-    # A disk is full for some seconds while the operator sends a change.  The
-    # keeper must not acknowledge what it cannot keep, must not end, since
-    # its callers and its vote would go with it, and must go on by itself,
-    # with nothing lost, as soon as there is room.
-    with platform_world.PlatformWorld() as made:
-        assert made.apply(platform_world.manifest(1)).status == 200
+    # A disk is full for some seconds while an operator sends a change.  The
+    # keeper must not acknowledge what it cannot store.  It must not end,
+    # since its callers and its vote would be lost with it.  Once there is
+    # space it must continue by itself, without losing anything.
+    with platform_world.PlatformWorld() as deployment:
+        assert deployment.apply(platform_world.manifest(1)).status == 200
         full = FullDisk(monkeypatch)
         full.full = True
-        assert made.apply(platform_world.manifest(2)).status == 503
-        keeper = made.keeper
+        assert deployment.apply(platform_world.manifest(2)).status == 503
+        keeper = deployment.keeper
         assert not keeper.host.state.log._core.halted
         assert not keeper.drain_state.draining
         full.full = False
         world.wait_until(
-            lambda: made.apply(platform_world.manifest(3)).status == 200
+            lambda: deployment.apply(platform_world.manifest(3)).status == 200
         )
         assert not keeper.drain_state.draining
-        read = made.control("GET", "/api/config")
+        read = deployment.control("GET", "/api/config")
         assert b'"version":3' in read.body
 
 
 def test_what_was_acknowledged_survives_a_full_disk(tmp_path, monkeypatch):
-    # Half of a record finds room before the disk is full.  It is written
-    # again once there is room; a restart reads each record once.
-    held = disk.FileStorage(tmp_path)
-    full = fill_up(held, monkeypatch)
+    # Half of a record is written before the disk is full.  The record is
+    # written again once there is space; a restart reads each record once.
+    storage = disk.FileStorage(tmp_path)
+    full = fill_disk(storage, monkeypatch)
     with pytest.raises(dandeliontrail.StorageRefused):
-        held.recover()
+        storage.recover()
     full.full = False
-    held.recover()
-    held.append([b"2"])
-    held.append([b"3"])
-    held.close()
+    storage.recover()
+    storage.append([b"2"])
+    storage.append([b"3"])
+    storage.close()
     again = disk.FileStorage(tmp_path)
     assert again.load()[1] == [b"1", b"2", b"3"]
     again.close()
@@ -97,27 +97,27 @@
 def test_a_new_log_that_was_refused_can_be_written_again(
     tmp_path, monkeypatch, failing
 ):
-    # The disk fills up while a checkpoint takes the place of the log, before
-    # or after the new file got its name.
-    held = disk.FileStorage(tmp_path)
-    held.append([b"1"])
+    # The disk fills up while a checkpoint replaces the log, before or after
+    # the new file is renamed.
+    storage = disk.FileStorage(tmp_path)
+    storage.append([b"1"])
 
     def fail(*args, **kwargs):
         raise OSError(28, "No space left on device")
 
-    places = {
+    owners = {
         "_write_all": disk,
         "fsync": disk.os,
         "rename": disk.pathlib.Path,
     }
     with monkeypatch.context() as patched:
-        patched.setattr(places[failing], failing, fail)
+        patched.setattr(owners[failing], failing, fail)
         with pytest.raises(dandeliontrail.StorageRefused):
-            held.replace(b'{"at":1}', [b"2"])
-    held.recover()
-    held.replace(b'{"at":1}', [b"2"])
-    held.append([b"3"])
-    held.close()
+            storage.replace(b'{"at":1}', [b"2"])
+    storage.recover()
+    storage.replace(b'{"at":1}', [b"2"])
+    storage.append([b"3"])
+    storage.close()
     again = disk.FileStorage(tmp_path)
     assert again.load() == (b'{"at":1}', [b"2", b"3"])
     again.close()
@@ -126,28 +126,28 @@
 def test_a_log_that_lost_what_was_synced_is_never_used_again(
     tmp_path, monkeypatch
 ):
-    # The disk comes back with less than the keeper has promised: to go on
-    # would acknowledge on top of a hole.
-    held = disk.FileStorage(tmp_path)
-    full = fill_up(held, monkeypatch)
+    # After the failure the file is shorter than what the keeper has synced:
+    # continuing would acknowledge records after a gap.
+    storage = disk.FileStorage(tmp_path)
+    full = fill_disk(storage, monkeypatch)
     full.full = False
     path = tmp_path / "log"
     with path.open("r+b") as file:
         file.truncate(path.stat().st_size // 2)
     with pytest.raises(dandeliontrail.StorageError) as caught:
-        held.recover()
+        storage.recover()
     assert not isinstance(caught.value, dandeliontrail.StorageRefused)
-    held.close()
+    storage.close()
 
 
 def test_a_start_waits_for_a_full_disk(tmp_path, monkeypatch):
-    # A keeper is killed while its disk is full.  Ending at once, it would be
-    # started and end again until there is room.
+    # A keeper is killed while its disk is full.  If the new process ended at
+    # once, it would be restarted again and again until there is space.
     disk.FileStorage(tmp_path).close()
     full = FullDisk(monkeypatch)
     full.full = True
     starting = gevent.spawn(
-        patient_writes.opened,
+        patient_writes.open_when_writable,
         lambda: disk.FileStorage(tmp_path),
         logging.getLogger("test"),
     )
@@ -160,28 +160,28 @@
 
 
 def test_an_instance_ends_while_its_disk_is_full(tmp_path, monkeypatch):
-    # SIGTERM comes while a write is refused: the process must not wait for
-    # the disk beyond its grace time.
-    held = disk.FileStorage(tmp_path)
-    writes = patient_writes.PatientWrites(held, logging.getLogger("test"))
+    # SIGTERM arrives while a write is refused: the process must not wait for
+    # the disk beyond its grace period.
+    storage = disk.FileStorage(tmp_path)
+    writer = patient_writes.RetryingWriter(storage, logging.getLogger("test"))
     full = FullDisk(monkeypatch)
     full.full = True
-    writing = gevent.spawn(writes.carry_out, held.append, ([b"1"],))
+    writing = gevent.spawn(writer.execute, storage.append, ([b"1"],))
     gevent.sleep(0.1)
     assert not writing.ready()
-    writes.give_up()
+    writer.stop_retrying()
     assert writing.get(timeout=2.0) is False
     full.full = False
-    assert writes.carry_out(held.recover, ()) is True
-    held.close()
+    assert writer.execute(storage.recover, ()) is True
+    storage.close()
 
 
 def test_what_a_new_process_read_is_synced_before_it_counts(
     tmp_path, monkeypatch
 ):
-    # A sync failed and the process ended.  The next one reads records that
-    # only the kernel's memory holds; a loss of power right after takes back
-    # what it has meanwhile promised.
+    # A sync failed and the process ended.  The next process reads records
+    # that exist only in the page cache; a power loss right after that would
+    # lose what it has acknowledged since.
     first = disk.FileStorage(tmp_path)
     first.append([b"1"])
     first.close()
@@ -194,20 +194,20 @@
     assert second.load()[1] == [b"1"]
     assert second.folder == first.folder
     second.close()
-    # The file, and the folder that its new name is in.
+    # The file, and the folder in which it was renamed.
     assert len(synced) >= 2
 
 
 def test_a_failed_storage_refuses_every_later_write(tmp_path, monkeypatch):
-    held = disk.FileStorage(tmp_path)
+    storage = disk.FileStorage(tmp_path)
 
     def fail(handle):
         raise OSError(5, "Input/output error")
 
     monkeypatch.setattr(disk.os, "fdatasync", fail)
     with pytest.raises(dandeliontrail.StorageError):
-        held.append([b"1"])
+        storage.append([b"1"])
     monkeypatch.undo()
     with pytest.raises(dandeliontrail.StorageError):
-        held.append([b"2"])
-    held.close()
+        storage.append([b"2"])
+    storage.close()
--- a/tests/cover/test_usage_disk.py
+++ b/tests/cover/test_usage_disk.py
@@ -1,4 +1,4 @@
-"""Usage on a keeper's disk, over a restart."""
+"""Usage on the disk of a keeper survives a restart."""
 
 import logging
 
@@ -11,34 +11,34 @@
 from dandeliontrail_node import usage_disk
 
 
-def restored(folder):
+def load_ledger(folder):
     storage = disk.FileStorage(folder)
-    keeping = usage_disk.UsageDisk(storage, logging.getLogger("test"))
-    event = keeping.load()
-    made = ledger.UsageLedger(usage.Publisher("i1", 99))
-    made.restore(event.snapshot, event.journal)
-    keeping.close()
+    writer = usage_disk.UsageDisk(storage, logging.getLogger("test"))
+    event = writer.load()
+    restored_ledger = ledger.UsageLedger(usage.Publisher("i1", 99))
+    restored_ledger.restore(event.snapshot, event.journal)
+    writer.close()
     storage.close()
-    return made
+    return restored_ledger
 
 
 @pytest.mark.parametrize("snapshot", [False, True])
 def test_usage_is_read_back_from_snapshot_and_journal(tmp_path, snapshot):
-    held = ledger.UsageLedger(usage.Publisher("i1", 1))
+    original = ledger.UsageLedger(usage.Publisher("i1", 1))
     storage = disk.FileStorage(tmp_path)
-    keeping = usage_disk.UsageDisk(storage, logging.getLogger("test"))
+    writer = usage_disk.UsageDisk(storage, logging.getLogger("test"))
     for day in ("2026-03-14", "2026-03-15"):
-        held.day = day
-        held.count("lab", "lookup", usage.Totals(1, 10, 5, 0))
+        original.day = day
+        original.count("lab", "lookup", usage.Totals(1, 10, 5, 0))
         if snapshot:
-            keeping.put(effects.ReplaceUsage(held.snapshot()))
-            held.unsaved()
-    held.count("lab", "lookup", usage.Totals(1, 10, 5, 2))
-    keeping.put(effects.AppendUsage(held.unsaved()))
-    keeping.close()
+            writer.put(effects.ReplaceUsage(original.snapshot()))
+            original.unsaved()
+    original.count("lab", "lookup", usage.Totals(1, 10, 5, 2))
+    writer.put(effects.AppendUsage(original.unsaved()))
+    writer.close()
     storage.close()
-    found = restored(tmp_path)
-    assert found.used_by("lab") == held.used_by("lab")
-    assert found.version() == held.version()
-    found.day = "2026-03-15"
-    assert found.used_today("lab").requests == 2
+    loaded = load_ledger(tmp_path)
+    assert loaded.used_by("lab") == original.used_by("lab")
+    assert loaded.version() == original.version()
+    loaded.day = "2026-03-15"
+    assert loaded.used_today("lab").requests == 2
