--- a/packages/dandeliontrail-node/src/dandeliontrail_node/outbox.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/outbox.py
@@ -1,16 +1,16 @@
-"""What is still to be sent to one instance, the most important first."""
+"""The queue of messages to one instance, in order of importance."""
 
 import collections
 
 from dandeliontrail.coordination import importance
 
-# The least important make room beyond this many.
-LONGEST = 512
+# Beyond this many messages the least important are dropped.
+MAX_MESSAGES = 512
 Importance = importance.Importance
 
 
-class Waiting:
-    """A message and when it was queued."""
+class QueuedMessage:
+    """A message and the time at which it was queued."""
 
     __slots__ = ("message", "queued")
 
@@ -20,11 +20,13 @@
 
 
 class Outbox:
-    """Messages by importance, in the order in which they were queued.
+    """Messages grouped by importance, each group in FIFO order.
+
+    ``shed`` counts the messages that were dropped.
 
     >>> box = Outbox()
     >>> box.put("a message", 1.0)
-    >>> [item.message for item in box.take(rich=True)]
+    >>> [item.message for item in box.take(within_budget=True)]
     ['a message']
     """
 
@@ -38,34 +40,38 @@
         return sum(len(queue) for queue in self._queues.values())
 
     def put(self, message, now):
-        """Queue a message; the oldest of the least important make room."""
+        """Queue a message.
+
+        If the outbox is full, the oldest of the least important messages is
+        dropped.
+        """
         key = importance.of(message)
-        self._queues[key].append(Waiting(message, now))
-        while len(self) > LONGEST:
-            self._drop_one()
+        self._queues[key].append(QueuedMessage(message, now))
+        while len(self) > MAX_MESSAGES:
+            self._drop_least_important()
 
-    def _drop_one(self):
+    def _drop_least_important(self):
         for key in reversed(Importance):
             if self._queues[key]:
                 self._queues[key].popleft()
                 self.shed += 1
                 return
 
-    def take(self, rich):
-        """Return the next batch and take it out.
+    def take(self, within_budget):
+        """Remove and return the next batch.
 
-        Without ``rich``, which tells that the byte budget is not used up,
-        only what is always sent comes along, without load reports; what can
-        be repaired later is dropped.
+        ``within_budget`` tells whether bytes are left in the budget.  If not,
+        the batch contains only messages that are always sent, without their
+        load reports; messages that can be repaired later are dropped.
         """
         batch = []
         for key, queue in self._queues.items():
-            if rich or key is Importance.ALWAYS:
+            if within_budget or key is Importance.ALWAYS:
                 batch.extend(queue)
             else:
                 self.shed += len(queue)
             queue.clear()
-        if not rich:
+        if not within_budget:
             for item in batch:
                 item.message = importance.without_load(item.message)
         return batch
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/packing.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/packing.py
@@ -1,47 +1,52 @@
-"""Makes large batches between instances small on the wire.
+"""Compresses large batches of messages between instances.
 
-A whole configuration with 1,449 routes is 0.8 MB as an entry of the log and
-goes to every instance.  On a link of 5 Mbit/s that is 1.3 s for each, behind
-which heartbeats wait; compressed it is 60 KB.  What a relay answers
-two hundred times a second, work at 44 servers and some prompt parts, shrinks
-by half.
+A whole configuration with 1,449 routes is a log entry of 0.8 MB that goes to
+every instance.  On a link of 5 Mbit/s that takes 1.3 s for each instance,
+during which heartbeats wait; compressed it is 60 KB.  The answers that a
+relay gives two hundred times a second, with the load of 44 servers and some
+prompt parts, shrink by half.
 """
 
 import zlib
 
-# Below this the headers weigh as much as what is gained.
-COMPRESS_ABOVE = 1024
-# The fastest: batches are many and small.
-LEVEL = 1
+# Below this size the extra header outweighs the gain.
+MIN_COMPRESSED_BYTES = 1024
+# The fastest level: batches are many and small.
+COMPRESSION_LEVEL = 1
 ENCODING = "deflate"
-# A batch may grow to this when it is unpacked; more is no batch of ours.
-MOST_BYTES = 64 * 1024 * 1024
+# Limit of the decompressed size; no valid batch is larger.
+MAX_UNPACKED_BYTES = 64 * 1024 * 1024
 
 
 class BadBatch(ValueError):
-    """The batch is not packed as it says, or beyond ``MOST_BYTES``."""
+    """The batch is malformed, or exceeds ``MAX_UNPACKED_BYTES``."""
 
 
 def pack(body):
-    """Return ``body`` and the name of its encoding, '' for none.
+    """Compress ``body`` if it is large.
+
+    Returns the data and the name of its encoding, '' for none.
 
     >>> pack(b"short")
     (b'short', '')
     """
-    if len(body) < COMPRESS_ABOVE:
+    if len(body) < MIN_COMPRESSED_BYTES:
         return body, ""
-    return zlib.compress(body, LEVEL), ENCODING
+    return zlib.compress(body, COMPRESSION_LEVEL), ENCODING
 
 
 def unpack(body, encoding):
-    """Return what was packed; raises :class:`BadBatch`."""
+    """Return the decompressed ``body``.
+
+    Raises :class:`BadBatch` if it is malformed, truncated or too large.
+    """
     if encoding != ENCODING:
         return body
-    unpacking = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        found = unpacking.decompress(body, MOST_BYTES)
+        unpacked = decompressor.decompress(body, MAX_UNPACKED_BYTES)
     except zlib.error as exc:
-        raise BadBatch(f"not compressed as it says: {exc}")
-    if not unpacking.eof:
+        raise BadBatch(f"not compressed as its encoding says: {exc}")
+    if not decompressor.eof:
         raise BadBatch("cut short, or too large")
-    return found
+    return unpacked
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/peer_connection.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/peer_connection.py
@@ -1,10 +1,11 @@
-"""One connection to another instance, which takes one batch at a time.
+"""One HTTP connection to another instance, for one batch at a time.
 
 A general HTTP client has pools, header objects and redirects, which a
-connection to a known path of a known instance has no use for.  With it, and
-with answers as batches of their own, a leading keeper of 36 idle instances
-spent 0.95 ms of processor time on each batch (0.163 core), without 0.56 (0.110
-core).  The parser is the library's.
+connection to a fixed path of a known instance does not need.  With such a
+client, and with answers sent as separate batches, the leading keeper of 36
+idle instances spent 0.95 ms of processor time on each batch (0.163 core);
+without them it spends 0.56 ms (0.110 core).  The parser is the one that the
+package uses for answers of backend servers.
 """
 
 import gevent
@@ -15,20 +16,20 @@
 
 FAILURES = (OSError, gevent.Timeout, answer_parser.ParseError)
 RECEIVE_BYTES = 64 * 1024
-# Answers carry what waits for this instance; a whole configuration is the
-# largest of it.
-MOST_ANSWER_BYTES = 64 * 1024 * 1024
+# An answer contains the messages queued for this instance; the largest is a
+# whole configuration.
+MAX_ANSWER_BYTES = 64 * 1024 * 1024
 
 
 class Closed(OSError):
-    """The other instance closed the connection within its answer."""
+    """The connection ended before the answer was complete."""
 
 
 class PeerConnection:
     """Posts bodies to ``path`` at ``address`` over one connection.
 
-    Whoever calls bounds the time; after an error the connection is of no
-    use any more.
+    The caller must limit the time of a call.  After an error the connection
+    cannot be used any more.
     """
 
     def __init__(self, address, path, connect_seconds, context=None):
@@ -43,13 +44,16 @@
             self._sock = context.wrap_socket(self._sock)
 
     def post(self, body, headers):
-        """Send one body; return the head of the answer, and its body."""
+        """Send one body; return the answer and its body.
+
+        Raises one of ``FAILURES``.
+        """
         lines = [f"{name}: {value}\r\n" for name, value in headers.items()]
         lines.append(f"Content-Length: {len(body)}\r\n\r\n")
         head = self._head + "".join(lines)
         self._sock.sendall(head.encode("latin-1") + body)
-        # A parser each time: each answer is read to its end, so that no byte
-        # of an earlier one is left to become part of this one.
+        # A new parser for each answer: each answer is read completely, so no
+        # bytes of an earlier one remain that could become part of this one.
         parser = answer_parser.AnswerParser()
         while not (parser.answers and parser.answers[0].complete):
             self._read_into(parser)
@@ -59,12 +63,12 @@
     def _read_into(self, parser):
         data = self._sock.recv(RECEIVE_BYTES)
         parser.feed(data)
-        if parser.answers and len(parser.answers[0].body) > MOST_ANSWER_BYTES:
-            raise Closed("the answer has no end")
-        done = parser.answers and parser.answers[0].complete
-        if not data and not done:
-            raise Closed("the connection ended before the answer")
+        if parser.answers and len(parser.answers[0].body) > MAX_ANSWER_BYTES:
+            raise Closed("the answer exceeds the size limit")
+        complete = parser.answers and parser.answers[0].complete
+        if not data and not complete:
+            raise Closed("the connection closed before the end of the answer")
 
     def close(self):
-        """Close it; nothing is told by how."""
+        """Close the connection."""
         self._sock.close()
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/peer_link.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/peer_link.py
@@ -1,10 +1,10 @@
-"""Carries messages between instances: HTTP with JSON, signed.
+"""Sends messages between instances as signed JSON over HTTP.
 
-Each address has one outbox, one connection and one greenlet that sends
-what has gathered as one batch.  What the other instance has for this one by
-then comes back in the answer to the batch: a question and its answer are one
-exchange in place of two.  Messages may be lost or repeated; every mechanism
-above allows for both.
+Each address has one outbox, one connection and one greenlet that sends the
+queued messages as one batch.  The answer to a batch contains the messages
+that the other instance has queued for this one, so a question and its answer
+take one HTTP exchange instead of two.  Messages may be lost or duplicated;
+every protocol on top of the link tolerates both.
 """
 
 import gevent
@@ -21,33 +21,32 @@
 
 PATH = "/peer/v1/messages"
 SIGNATURE_HEADER = "X-Peer-Signature"
-# Says that the sender takes messages in the answer; a release that does not
-# know it gets them as batches of their own.
+# Set by senders that accept messages in the answer.  A release that does not
+# send it gets its messages as separate batches.
 ANSWERS_HEADER = "X-Peer-Answers"
 CONNECT_SECONDS = 1.0
 BACKOFF_SECONDS = 0.5
-# A connection that has gone silent is told by the pace of those before: it
-# is given up after so many times the usual time of an answer, within these
-# bounds.
-SILENT_FACTOR = 20.0
-SHORTEST_SILENCE = 0.5
-LONGEST_SILENCE = 2.0
-PACE_WEIGHT = 0.2
-# A link that others use too carries at least so many bytes a second.
+# A connection counts as dead if no answer arrives within this multiple of
+# the usual latency, limited to the two bounds below.
+ANSWER_TIMEOUT_FACTOR = 20.0
+MIN_ANSWER_TIMEOUT_SECONDS = 0.5
+MAX_ANSWER_TIMEOUT_SECONDS = 2.0
+LATENCY_WEIGHT = 0.2
+# Assumed minimum throughput, in bytes per second, of a shared link.
 SLOW_LINK_BYTES = 100_000.0
-# An outbox that nobody uses, since its instance has gone, is closed.
-IDLE_SECONDS = 30.0
-# What HTTP adds to the body of a batch and its answer, about; counted
-# towards the budget.
+# An unused outbox, whose instance is gone, is closed after this time.
+IDLE_TIMEOUT_SECONDS = 30.0
+# Approximate size of the HTTP headers of a batch and its answer; counted
+# against the byte budget.
 OVERHEAD_BYTES = 330
 FAILURES = (*peer_connection.FAILURES, packing.BadBatch)
 
 
 class ByteBudget:
-    """A token bucket of one second's bytes, which may go into debt.
+    """A token bucket that holds the bytes of one second.
 
-    What must be sent is sent in any case; the debt then holds back the
-    rest for as long as it takes.
+    It may become negative: messages that must be sent are sent in any case,
+    and optional ones are then held back until the debt is paid off.
     """
 
     __slots__ = ("_rate", "_left", "_filled")
@@ -58,24 +57,25 @@
         self._filled = now
 
     def has_left(self, now):
-        """Tell whether anything is left of the budget."""
+        """Return whether the budget has bytes left."""
         gained = (now - self._filled) * self._rate
         self._left = min(self._rate, self._left + gained)
         self._filled = now
         return self._left > 0
 
     def spend(self, count):
-        """Take ``count`` bytes out."""
+        """Subtract ``count`` bytes from the budget."""
         self._left -= count
 
 
 class HttpPeerLink(interfaces.PeerLink):
-    """Sends to any number of addresses without ever blocking the sender.
+    """Sends messages to any number of addresses without blocking the caller.
 
-    ``counters`` takes ``peer_*`` counts; ``bytes_per_second`` is the budget
-    over all addresses, above which :mod:`.outbox` sheds.  ``new_context``
-    returns the TLS context of a new connection, or ``None`` for none.
-    ``take_in`` is called with each envelope that came in an answer.
+    ``counters`` receives the ``peer_*`` counts.  ``bytes_per_second`` is the
+    budget over all addresses; beyond it :mod:`.outbox` sheds messages.
+    ``new_context`` returns the TLS context of a new connection, or ``None``
+    for plain TCP.  ``take_in`` is called with each envelope that arrives in
+    an answer.
     """
 
     def __init__(
@@ -94,31 +94,35 @@
         self.new_context = new_context
         self.budget = ByteBudget(bytes_per_second, clock.now())
         self.take_in = lambda envelope: None
-        self._lines = {}
+        self._senders = {}
 
     def send(self, address, message):
         """Queue ``message`` for the instance at ``address``."""
-        line = self._lines.get(address)
-        if line is None:
-            line = _Line(address, self)
-            self._lines[address] = line
-        line.put(message)
+        sender = self._senders.get(address)
+        if sender is None:
+            sender = _PeerSender(address, self)
+            self._senders[address] = sender
+        sender.put(message)
 
     def answer(self, address):
-        """Take what waits for ``address``; return its body and headers.
+        """Return the body and headers of the answer to a batch.
 
-        For the answer to a batch that came from there; both are empty where
-        nothing waits.
+        The body contains the messages queued for ``address``, from which the
+        batch came.  Both are empty if nothing is queued.
         """
-        line = self._lines.get(address)
-        batch = line.take() if line is not None else []
+        sender = self._senders.get(address)
+        batch = sender.take() if sender is not None else []
         return self.pack(batch) if batch else (b"", {})
 
-    def open_answer(self, answer, body):
-        """Take in the messages in the answer to a batch."""
+    def process_answer(self, answer, body):
+        """Process the messages in the answer to a batch.
+
+        Raises :class:`.packing.BadBatch` if the answer is not signed with the
+        key of this system or cannot be decoded.
+        """
         signature = answer.get(SIGNATURE_HEADER.lower())
         if not body or not signature:
-            # An earlier release, or there was nothing to say.
+            # An earlier release, or no message was queued.
             return
         if not self._key.verify(body, signature):
             raise packing.BadBatch("the answer is not signed with our key")
@@ -126,19 +130,23 @@
         try:
             found = codec.decode(packing.unpack(body, encoding))
         except msgspec.DecodeError as exc:
-            raise packing.BadBatch(f"the answer is no batch: {exc}")
+            raise packing.BadBatch(f"the answer is not a valid batch: {exc}")
         self.count_received(len(body), *found)
         self.take_in(found[0])
 
-    def count_received(self, size, envelope, left_out):
-        """Count a batch that came in, on its own or in an answer."""
+    def count_received(self, size, envelope, unknown_count):
+        """Count a received batch, sent separately or in an answer.
+
+        ``size`` is in bytes; ``unknown_count`` is the number of messages of
+        unknown types.
+        """
         self.counters["peer_received_bytes_total"] += size
         self.counters["peer_received_messages_total"] += len(envelope.messages)
         self.counters["peer_received_batches_total"] += 1
-        self.counters["peer_unknown_messages_total"] += left_out
+        self.counters["peer_unknown_messages_total"] += unknown_count
 
     def pack(self, batch):
-        """Return the body of a batch and the headers that sign it."""
+        """Return the body of a batch and its headers with the signature."""
         own = self._identity
         sender = messages.Sender(
             own.instance,
@@ -163,66 +171,69 @@
         self.counters["peer_sent_batches_total"] += 1
         return body, headers
 
-    def forget(self, line):
-        """Drop a line that has closed itself."""
-        if self._lines.get(line.address) is line:
-            del self._lines[line.address]
+    def remove_sender(self, sender):
+        """Remove a sender that has closed itself."""
+        if self._senders.get(sender.address) is sender:
+            del self._senders[sender.address]
 
     def close(self):
-        """Stop sending."""
-        for line in list(self._lines.values()):
-            line.close()
+        """Stop sending and close all connections."""
+        for sender in list(self._senders.values()):
+            sender.close()
 
 
-class _Line:
-    """The outbox, the connection and the sending greenlet of an address."""
+class _PeerSender:
+    """The outbox, the connection and the sending greenlet of an address.
+
+    The connection is opened on demand and closed after an error.
+    """
 
     def __init__(self, address, link):
         self.address = address
         self._link = link
         self._outbox = outbox.Outbox()
-        self._filled = gevent_event.Event()
+        self._has_messages = gevent_event.Event()
         self._conn = None
-        self._usual = 0.0
+        self._usual_latency = 0.0
         self._greenlet = gevent.spawn(self._send_forever)
 
     def put(self, message):
         """Queue one message."""
         self._outbox.put(message, self._link.clock.now())
-        self._filled.set()
+        self._has_messages.set()
 
     def close(self):
         """Stop the greenlet and close the connection."""
         self._greenlet.kill()
-        self._hang_up()
+        self._disconnect()
 
     def take(self):
-        """Take out what has gathered, as far as the budget of bytes goes."""
-        rich = self._link.budget.has_left(self._link.clock.now())
+        """Remove and return the queued messages that the budget allows."""
+        within_budget = self._link.budget.has_left(self._link.clock.now())
         shed = self._outbox.shed
-        batch = self._outbox.take(rich)
+        batch = self._outbox.take(within_budget)
         counters = self._link.counters
         counters["peer_shed_messages_total"] += self._outbox.shed - shed
         return batch
 
     def _send_forever(self):
-        while self._filled.wait(IDLE_SECONDS):
-            self._filled.clear()
+        while self._has_messages.wait(IDLE_TIMEOUT_SECONDS):
+            self._has_messages.clear()
             if not self._send_waiting():
                 gevent.sleep(BACKOFF_SECONDS)
-        self._link.forget(self)
-        self._hang_up()
+        self._link.remove_sender(self)
+        self._disconnect()
 
     def _send_waiting(self):
-        """Send what has gathered; return whether it arrived."""
+        """Send the queued messages; return whether they arrived."""
         batch = self.take()
         if not batch:
-            # It went out in the answer to a batch from there.
+            # The messages went out in the answer to a batch.
             return True
         body, headers = self._link.pack(batch)
-        # A connection that something in between has lost track of takes the
-        # bytes and answers nothing, for good, while a new one works.  So
-        # the batch goes out once more on a new one; both may arrive.
+        # A middlebox may have dropped the state of a connection: the old one
+        # accepts bytes but never answers, while a new one works.  So the
+        # batch is sent once more on a new connection; both may arrive.
         reused = self._conn is not None
         if self._post(body, headers):
             return True
@@ -231,37 +242,40 @@
     def _post(self, body, headers):
         began = self._link.clock.now()
         try:
-            with gevent.Timeout(self._patience(len(body))):
-                answer, data = self._connected().post(body, headers)
-                self._link.open_answer(answer, data)
+            with gevent.Timeout(self._answer_timeout(len(body))):
+                answer, data = self._open_connection().post(body, headers)
+                self._link.process_answer(answer, data)
         except FAILURES:
-            self._hang_up()
+            self._disconnect()
             self._link.counters["peer_failed_batches_total"] += 1
             return False
         if "close" in answer.get("connection").lower():
-            # The other instance is on its way out: the next batch would
-            # find this connection closed.
-            self._hang_up()
-        took = self._link.clock.now() - began
-        self._usual += PACE_WEIGHT * (took - self._usual)
+            # The other instance is draining and closes the connection, so
+            # the next batch must not use it.
+            self._disconnect()
+        latency = self._link.clock.now() - began
+        self._usual_latency += LATENCY_WEIGHT * (latency - self._usual_latency)
         return answer.status == 200
 
-    def _patience(self, size):
-        """Return how long an answer to so many bytes may take."""
-        travel = size / SLOW_LINK_BYTES
+    def _answer_timeout(self, size):
+        """Return the timeout in seconds for the answer to ``size`` bytes."""
+        transfer = size / SLOW_LINK_BYTES
         if self._conn is None:
-            return CONNECT_SECONDS + LONGEST_SILENCE + travel
-        expected = max(SHORTEST_SILENCE, SILENT_FACTOR * self._usual)
-        return min(LONGEST_SILENCE, expected) + travel
+            return CONNECT_SECONDS + MAX_ANSWER_TIMEOUT_SECONDS + transfer
+        expected = max(
+            MIN_ANSWER_TIMEOUT_SECONDS,
+            ANSWER_TIMEOUT_FACTOR * self._usual_latency,
+        )
+        return min(MAX_ANSWER_TIMEOUT_SECONDS, expected) + transfer
 
-    def _connected(self):
+    def _open_connection(self):
         if self._conn is None:
             self._conn = peer_connection.PeerConnection(
                 self.address, PATH, CONNECT_SECONDS, self._link.new_context()
             )
         return self._conn
 
-    def _hang_up(self):
+    def _disconnect(self):
         if self._conn is not None:
             self._conn.close()
             self._conn = None
