--- a/packages/dandeliontrail-node/src/dandeliontrail_node/host.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/host.py
@@ -18,7 +18,7 @@
 from . import request_log
 
 # Tick interval in seconds; the reducer's timers are 0.1 s and longer.
-TICK = 0.1
+TICK_SECONDS = 0.1
 # An instance ticks faster until it has the replicated state: callers are
 # waiting, and each step of the start (greet, ask, fetch) takes one tick.  An
 # instance that reaches no peer returns to the normal rate after
@@ -195,7 +195,9 @@
             at_normal_rate = (
                 self.state.log.ready or self.clock.now() > fast_until
             )
-            gevent.sleep(TICK if at_normal_rate else START_TICK_SECONDS)
+            gevent.sleep(
+                TICK_SECONDS if at_normal_rate else START_TICK_SECONDS
+            )
 
     def life(self, request_id):
         """Return the state of a request that has not ended, or ``None``."""
--- a/tests/cover/test_logs.py
+++ b/tests/cover/test_logs.py
@@ -34,16 +34,16 @@
         deployment.engine("e1")
         deployment.apply({"lookup": {"priority": 0}})
         ask = client.Ask(instance.addresses["callers"], world.KEY, "", PROMPT)
-        found = lines(client.send(ask).request_id)
+        records = lines(client.send(ask).request_id)
     # Success is logged once: a separate line for it added no information and
     # was a third of the lines of a busy instance.
-    assert [item.message for item in found] == [
+    assert [item.message for item in records] == [
         "request",
         "decision",
         "request ended",
     ]
-    assert found[1].reason == "dispatched"
-    last = found[-1]
+    assert records[1].reason == "dispatched"
+    last = records[-1]
     assert last.reason == "complete"
     assert (last.outcome, last.attempts, last.output_tokens) == (
         "complete",
@@ -66,7 +66,7 @@
         deployment.engine("e1")
         deployment.apply({"lookup": {"priority": 0}})
         ask = client.Ask(instance.addresses["callers"], "wrong", "", PROMPT)
-        found = lines(client.send(ask).request_id)
-    assert found[-1].message == "request ended"
-    assert (found[-1].status, found[-1].outcome) == (401, "not-run")
-    assert found[-1].reason == "unknown_key"
+        records = lines(client.send(ask).request_id)
+    assert records[-1].message == "request ended"
+    assert (records[-1].status, records[-1].outcome) == (401, "not-run")
+    assert records[-1].reason == "unknown_key"
--- a/tests/cover/test_peer_link.py
+++ b/tests/cover/test_peer_link.py
@@ -138,9 +138,9 @@
         answers = {**signature, peer_link.ANSWERS_HEADER: "1"}
         answer, data = conn.post(body, answers)
         conn.close()
-        found, unknown_count = codec.decode(data)
+        received, unknown_count = codec.decode(data)
         assert any(
-            isinstance(item, messages.Heartbeat) for item in found.messages
+            isinstance(item, messages.Heartbeat) for item in received.messages
         )
 
 
