--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/backend_servers.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/backend_servers.py
@@ -60,7 +60,7 @@
                 400, "invalid_announcement", exc.message, exc.remedy
             )
         self._host.submit(events.Announced(announcement))
-        lease = min(announcement.lease, servers.LONGEST_LEASE)
+        lease = min(announcement.lease, servers.MAX_LEASE_SECONDS)
         return wsgi.reply_json(start_response, Accepted(lease))
 
 
--- a/packages/dandeliontrail/src/dandeliontrail/components/state.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/state.py
@@ -79,7 +79,7 @@
     bootstrap=(),
     log_options=quorum_log_options.DEFAULT,
     routing_options=revisions.RoutingOptions(),
-    longest_lease=servers.LONGEST_LEASE,
+    longest_lease=servers.MAX_LEASE_SECONDS,
     duty_options=duties_state.DutyOptions(),
 ):
     """Return the state of an instance that knows only its seed peers.
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
@@ -18,7 +18,7 @@
 # Upper bound on a lease in seconds, whatever lease the server announces:
 # after this time at most, a server that shut down or stopped announcing
 # itself gets no new work.
-LONGEST_LEASE = 3.0
+MAX_LEASE_SECONDS = 3.0
 # Expired records are kept for this long, up to this number, so that an older
 # announcement that is still in transit cannot revive the server.
 EXPIRED_RETENTION_SECONDS = 60.0
@@ -75,7 +75,7 @@
     heard: float
     expires: float
     content: int = 0
-    lease: float = LONGEST_LEASE
+    lease: float = MAX_LEASE_SECONDS
 
     def serves(self, now):
         """Return whether the server may get new work."""
@@ -103,7 +103,7 @@
         "_next_lapse",
     )
 
-    def __init__(self, longest_lease=LONGEST_LEASE):
+    def __init__(self, longest_lease=MAX_LEASE_SECONDS):
         self.longest_lease = longest_lease
         self.servers = {}
         self.digest = digests.TableDigest()
--- a/packages/dandeliontrail/src/dandeliontrail/reducer.py
+++ b/packages/dandeliontrail/src/dandeliontrail/reducer.py
@@ -102,7 +102,7 @@
     keeps_usage=False,
     log_options=quorum_log_options.DEFAULT,
     routing_options=revisions.RoutingOptions(),
-    longest_lease=servers.LONGEST_LEASE,
+    longest_lease=servers.MAX_LEASE_SECONDS,
     duty_options=duties_state.DutyOptions(),
     new_policy=None,
 ):
--- a/tests/cover/test_partitions.py
+++ b/tests/cover/test_partitions.py
@@ -15,7 +15,7 @@
 from tests.common import usage_nodes
 
 # The tolerance is for rounding, since the end of a lease is a sum of floats.
-MAX_SILENCE_SECONDS = servers.LONGEST_LEASE + 1e-6
+MAX_SILENCE_SECONDS = servers.MAX_LEASE_SECONDS + 1e-6
 NAMES = [f"i{index}" for index in range(6)]
 SERVERS = ["e0", "e1"]
 NAME = st.sampled_from(NAMES)
--- a/tests/cover/test_server_records.py
+++ b/tests/cover/test_server_records.py
@@ -116,7 +116,10 @@
         for place, registry in enumerate(self.registries):
             for server in registry.serving(self.local_time(place)):
                 name = server.announcement.backend_server
-                assert self.now - self.announced[name] <= servers.LONGEST_LEASE
+                assert (
+                    self.now - self.announced[name]
+                    <= servers.MAX_LEASE_SECONDS
+                )
 
     @stateful.invariant()
     def a_leaving_server_gets_no_new_work_after_its_bound(self):
