--- a/packages/dandeliontrail/src/dandeliontrail/components/backend_servers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/backend_servers.py
@@ -46,11 +46,11 @@
     def _handle_announced(self, event, now):
         announcement = event.announcement
         name = announcement.backend_server
-        before = self._content(name)
+        before = self._content_hash(name)
         age = self._state.members.waited(now)
         if not self._learn(announcement, age, now):
             return []
-        if self._content(name) == before:
+        if self._content_hash(name) == before:
             self._renewals.note(name)
             return []
         return self._forward([name], now)
@@ -60,16 +60,16 @@
         changed = []
         for record in message.records:
             name = record.announcement.backend_server
-            before = self._content(name)
+            before = self._content_hash(name)
             if not self._learn(record.announcement, record.age + delay, now):
                 continue
-            if self._content(name) != before:
+            if self._content_hash(name) != before:
                 changed.append(name)
         return self._forward(changed, now, source.instance)
 
-    def _content(self, name):
+    def _content_hash(self, name):
         current = self._state.registry.servers.get(name)
-        return current.content if current else None
+        return current.content_hash if current else None
 
     def _forward(self, names, now, source=""):
         """Send records of leaving servers at once, others at the next tick.
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
@@ -67,14 +67,14 @@
 
     ``expires`` and ``heard`` are times on this instance's monotonic clock;
     ``heard`` is when any instance first received the announcement.
-    ``content`` is the hash of the announcement without sequence and load,
+    ``content_hash`` is that of the announcement without sequence and load,
     ``lease`` the duration of the lease in seconds.
     """
 
     announcement: announcements.Announcement
     heard: float
     expires: float
-    content: int = 0
+    content_hash: int = 0
     lease: float = MAX_LEASE_SECONDS
 
     def serves(self, now):
@@ -129,7 +129,7 @@
             self._replace(server, announcement, now - age)
         else:
             return self._renew_from_copy(server, announcement, now - age)
-        server.content = content_hash(server.announcement)
+        server.content_hash = content_hash(server.announcement)
         self._index(server)
         return True
 
@@ -143,7 +143,7 @@
             return False
         if server.announcement.leaving or heard <= server.heard:
             return False
-        if content_hash(announcement) != server.content:
+        if content_hash(announcement) != server.content_hash:
             return False
         server.heard = heard
         server.expires = heard + self._lease_seconds(server.announcement)
@@ -157,7 +157,7 @@
         server.lease = self._lease_seconds(announcement)
         self._lapsed.pop(name, None)
         self._next_lapse = min(self._next_lapse, server.expires)
-        self.digest.put(name, server.content)
+        self.digest.put(name, server.content_hash)
         running_servers = self.running.setdefault(
             announcement.failure_domain, vouches.RunningServers()
         )
@@ -204,7 +204,10 @@
         order = (renewal.epoch, renewal.sequence)
         if order <= before.order() or _has_left(before, renewal.epoch):
             return False
-        if renewal.epoch != before.epoch or renewal.content != server.content:
+        if (
+            renewal.epoch != before.epoch
+            or renewal.content != server.content_hash
+        ):
             return None
         load = _decode_load(renewal) or _aged_load(
             before.load, now - server.heard
@@ -241,7 +244,7 @@
             name,
             announcement.epoch,
             announcement.sequence,
-            server.content,
+            server.content_hash,
             round(max(0.0, now - server.heard), 3),
             [load.running, load.waiting, load.kv_used, load.measured_ms_ago],
         )
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/vouches.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/vouches.py
@@ -53,7 +53,7 @@
 
     def put(self, name, server):
         """Add a server or update its content."""
-        self.digest.put(name, server.content)
+        self.digest.put(name, server.content_hash)
         self.servers[name] = server
 
     def drop(self, name):
