--- a/packages/dandeliontrail/src/dandeliontrail/components/renewals.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/renewals.py
@@ -140,7 +140,7 @@
         domain = self._state.identity.failure_domain
         by_domain = {
             name: self._registry.vouch(name, now)
-            for name, running in self._registry.running.items()
+            for name, running in self._registry.running_by_domain.items()
             if running.servers
         }
         complete = vouches.Vouches(list(by_domain.values()))
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
@@ -90,14 +90,14 @@
 class ServerRegistry:
     """All known backend servers by name, with digests for anti-entropy.
 
-    ``digest`` covers the servers whose lease has not expired; ``running``
+    ``digest`` covers the servers whose lease has not expired; ``running_by_domain``
     has the servers that accept work by failure domain.
     """
 
     __slots__ = (
         "servers",
         "digest",
-        "running",
+        "running_by_domain",
         "longest_lease",
         "_lapsed",
         "_next_lapse",
@@ -107,7 +107,7 @@
         self.longest_lease = longest_lease
         self.servers = {}
         self.digest = digests.TableDigest()
-        self.running = {}
+        self.running_by_domain = {}
         self._lapsed = {}
         self._next_lapse = 0.0
 
@@ -158,7 +158,7 @@
         self._lapsed.pop(name, None)
         self._next_lapse = min(self._next_lapse, server.expires)
         self.digest.put(name, server.content_hash)
-        running_servers = self.running.setdefault(
+        running_servers = self.running_by_domain.setdefault(
             announcement.failure_domain, vouches.RunningServers()
         )
         if announcement.leaving:
@@ -169,7 +169,7 @@
     def _remove_from_digests(self, name):
         domain = self.servers[name].announcement.failure_domain
         self.digest.drop(name)
-        self.running[domain].drop(name)
+        self.running_by_domain[domain].drop(name)
 
     def _replace(self, server, announcement, heard):
         before = server.announcement
@@ -223,14 +223,14 @@
 
     def vouch(self, domain, now):
         """Return a vouch that renews all running servers of a domain."""
-        return self.running[domain].vouch(domain, now)
+        return self.running_by_domain[domain].vouch(domain, now)
 
     def vouched(self, vouch, delay, now):
         """Apply a vouch of a relay; return whether it was accepted.
 
         ``delay`` is the time in seconds that it took to get here.
         """
-        running_servers = self.running.get(vouch.failure_domain)
+        running_servers = self.running_by_domain.get(vouch.failure_domain)
         return running_servers is not None and running_servers.renew(
             vouch, delay, now
         )
