--- a/packages/dandeliontrail/src/dandeliontrail/components/renewals.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/renewals.py
@@ -203,5 +203,5 @@
         if source.failure_domain == domain:
             self._other_relay_vouched_at = now
         for vouch in message.vouches:
-            self._registry.vouched(vouch, delay, now)
+            self._registry.apply_vouch(vouch, delay, now)
         return []
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
@@ -225,7 +225,7 @@
         """Return a vouch that renews all running servers of a domain."""
         return self.running_by_domain[domain].vouch(domain, now)
 
-    def vouched(self, vouch, delay, now):
+    def apply_vouch(self, vouch, delay, now):
         """Apply a vouch of a relay; return whether it was accepted.
 
         ``delay`` is the time in seconds that it took to get here.
--- a/tests/cover/test_relays.py
+++ b/tests/cover/test_relays.py
@@ -167,11 +167,11 @@
         registry.learn(announce("e1", 1), 0.0, 1.0)
         registry.learn(announce("e2", 1), 0.0, 1.0)
     relay.learn(announce("e2", 2), 0.0, 2.0)
-    assert other.vouched(relay.vouch("fd1", 2.0), 0.0, 2.0)
+    assert other.apply_vouch(relay.vouch("fd1", 2.0), 0.0, 2.0)
     # Ages are rounded up, never down.
     assert 1.98 <= other.servers["e2"].heard <= 2.0
     relay.learn(announce("e1", 2, leaving=True), 0.0, 3.0)
-    assert not other.vouched(relay.vouch("fd1", 3.0), 0.0, 3.0)
+    assert not other.apply_vouch(relay.vouch("fd1", 3.0), 0.0, 3.0)
     assert not other.servers["e1"].serves(4.1)
 
 
