--- a/packages/dandeliontrail/src/dandeliontrail/components/backend_servers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/backend_servers.py
@@ -32,7 +32,7 @@
     def tick(self, now):
         """Forward the batched records and remove servers gone for long."""
         out, self._pending_effects = self._pending_effects, []
-        for name in self._state.registry.forget(now):
+        for name in self._state.registry.remove_expired(now):
             self._policy.forget_server(name)
             self._state.directory.invalidate()
             fields = {"backend_server": name}
--- a/packages/dandeliontrail/src/dandeliontrail/components/server_ends.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/server_ends.py
@@ -72,7 +72,7 @@
         """
         if now >= self._next_forget:
             self._next_forget = now + FORGET_INTERVAL_SECONDS
-            self._blocked.difference_update(self._table.forget(now))
+            self._blocked.difference_update(self._table.remove_expired(now))
             self._table.settle(now)
         out, self._pending_log_effects = self._pending_log_effects, []
         pending, self._pending_reports = self._pending_reports, {}
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/server_ends.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/server_ends.py
@@ -204,7 +204,7 @@
             suspect.served,
         )
 
-    def forget(self, now):
+    def remove_expired(self, now):
         """Remove expired records, and the oldest if there are too many.
 
         Returns the fingerprints of the removed records.
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
@@ -259,7 +259,7 @@
         """Return all servers that may get new work."""
         return [item for item in self.servers.values() if item.serves(now)]
 
-    def forget(self, now, after=EXPIRED_RETENTION_SECONDS):
+    def remove_expired(self, now, after=EXPIRED_RETENTION_SECONDS):
         """Remove servers whose lease expired over ``after`` seconds ago.
 
         Returns their names.  Expired servers are removed from the digests
--- a/tests/cover/test_crash_suspects.py
+++ b/tests/cover/test_crash_suspects.py
@@ -152,7 +152,7 @@
     table = table_of({"p": "a"})
     other = table_of({"p": "a"})
     later = NOW + server_ends.KEEP_ONE + 1.0
-    assert table.forget(later) == ["p"]
+    assert table.remove_expired(later) == ["p"]
     assert table.is_forgotten(other.record_of("p", later), 0.0)
     assert table.digest.root == 0
 
@@ -163,7 +163,7 @@
     for number in range(server_ends.MOST_RECORDS + surplus):
         at = NOW + number / 1e4
         table.note(f"f{number}", (f"s{number % 50}", 0), at, at)
-    assert len(table.forget(NOW + 1.0)) == surplus
+    assert len(table.remove_expired(NOW + 1.0)) == surplus
     assert "f0" not in table.suspects
     for number in range(2 * server_ends.MOST_ENDS):
         table.note("p", (f"s{number}", 0), NOW, NOW)
--- a/tests/cover/test_server_records.py
+++ b/tests/cover/test_server_records.py
@@ -51,7 +51,7 @@
     def time_passes(self, seconds):
         self.now += seconds
         for place, registry in enumerate(self.registries):
-            registry.forget(self.local_time(place))
+            registry.remove_expired(self.local_time(place))
 
     @stateful.rule(name=NAMES)
     def restarts(self, name):
