--- a/packages/dandeliontrail/src/dandeliontrail/components/server_loads.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/server_loads.py
@@ -59,7 +59,7 @@
         loads = self._policy.own_loads()
         if not loads and not self._sent_loads and not self._unsent_reads:
             return []
-        is_due = self._unsent_reads or server_loads.differ(
+        is_due = self._unsent_reads or server_loads.changed_significantly(
             loads, self._sent_loads
         )
         if not is_due and now < self._next_repeat:
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/server_loads.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/server_loads.py
@@ -68,7 +68,7 @@
     silent: list[str] = []
 
 
-def differ(loads, previous):
+def changed_significantly(loads, previous):
     """Return whether loads changed enough to be reported at once.
 
     Other instances base their decisions mainly on the number of prompt
--- a/tests/cover/test_shared_policy.py
+++ b/tests/cover/test_shared_policy.py
@@ -335,12 +335,14 @@
 
 def test_only_large_changes_are_announced_at_once():
     held = [server_loads.Load("e0", 10, 5000)]
-    assert not server_loads.differ(held, held)
+    assert not server_loads.changed_significantly(held, held)
     near = [server_loads.Load("e0", 11, 5900)]
-    assert not server_loads.differ(near, held)
-    assert server_loads.differ([server_loads.Load("e0", 10, 9000)], held)
-    assert server_loads.differ([], held)
-    assert server_loads.differ(held, [])
+    assert not server_loads.changed_significantly(near, held)
+    assert server_loads.changed_significantly(
+        [server_loads.Load("e0", 10, 9000)], held
+    )
+    assert server_loads.changed_significantly([], held)
+    assert server_loads.changed_significantly(held, [])
 
 
 def relay_of_two_domains():
