--- a/packages/dandeliontrail/src/dandeliontrail/components/server_loads.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/server_loads.py
@@ -39,7 +39,7 @@
         self._unsent_reads = []
         # Prompt parts to report to the instances of this failure domain,
         # filled only while this instance is the domain's first relay.
-        self._read_log = server_loads.ReadLog()
+        self._sent_prompt_log = server_loads.SentPromptLog()
         self._last_sent_at = float("-inf")
         self._sent_work_outside = False
         self._next_repeat = 0.0
@@ -89,7 +89,9 @@
 
     def _send_through_relays(self, reads, now):
         if self._is_aggregator():
-            self._read_log.add(reads, self._state.identity.instance, now)
+            self._sent_prompt_log.add(
+                reads, self._state.identity.instance, now
+            )
             return self._send_domain_sum(now)
         loads = self._policy.own_loads()
         has_work = loads or self._sent_loads or self._unsent_reads
@@ -165,13 +167,15 @@
 
     def _answer_as_relay(self, source, message, now):
         """Record prompt parts, and answer instances of this domain."""
-        self._read_log.add(message.reads, source.instance, now)
+        self._sent_prompt_log.add(message.reads, source.instance, now)
         if source.failure_domain != self._state.identity.failure_domain:
             return []
         self._unsent_reads.extend(message.reads)
         answer = server_loads.ServerLoads(
             self._state.loads.sum_of_all(self._policy.own_loads()),
-            self._read_log.news_for(source.instance, source.incarnation, now),
+            self._sent_prompt_log.entries_since_last_query(
+                source.instance, source.incarnation, now
+            ),
             server_loads.ALL,
             sorted(self._state.members.silent_domains(now)),
         )
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/server_loads.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/server_loads.py
@@ -208,7 +208,7 @@
     ]
 
 
-class ReadLog:
+class SentPromptLog:
     """Recently sent prompts, for instances that poll a relay for updates.
 
     Each instance gets the entries added since its last query, except its
@@ -231,7 +231,7 @@
             self._count += 1
             self._reads.append((self._count, now, source, read))
 
-    def news_for(self, reader, incarnation, now):
+    def entries_since_last_query(self, reader, incarnation, now):
         """Return the entries that an instance has not received yet."""
         key = (reader, incarnation)
         last_sent = self._told.pop(key, 0)
