--- a/packages/dandeliontrail/src/dandeliontrail/components/server_loads.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/server_loads.py
@@ -105,7 +105,7 @@
         relays = self._state.members.relays_of(
             self._state.identity.failure_domain
         )
-        self._state.loads.told_relay_at = now
+        self._state.loads.sent_to_relay_at = now
         message = server_loads.ServerLoads(loads, self._take_unsent_reads())
         return [effects.SendPeer(item.address, message) for item in relays[:1]]
 
--- a/packages/dandeliontrail/src/dandeliontrail/components/usage_windows.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/usage_windows.py
@@ -73,7 +73,7 @@
         if now < self._next_report:
             return out
         relay = self._relay_address()
-        shares_batch = not relay or self._state.loads.told_relay_at == now
+        shares_batch = not relay or self._state.loads.sent_to_relay_at == now
         if (
             not shares_batch
             and now < self._next_report + MAX_BATCH_WAIT_SECONDS
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/server_loads.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/server_loads.py
@@ -117,14 +117,14 @@
 
     The sums are updated incrementally by each report: a relay of 39
     instances receives 200 reports per second, and recomputing the sums each
-    time would add up all the others again.  ``told_relay_at`` is when this
+    time would add up all the others again.  ``sent_to_relay_at`` is when this
     instance last sent its own loads to a relay.
     """
 
-    __slots__ = ("told_relay_at", "_said", "_sums")
+    __slots__ = ("sent_to_relay_at", "_said", "_sums")
 
     def __init__(self):
-        self.told_relay_at = float("-inf")
+        self.sent_to_relay_at = float("-inf")
         self._said = {}
         self._sums = {}
 
