--- a/packages/dandeliontrail/src/dandeliontrail/components/server_ends.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/server_ends.py
@@ -128,7 +128,7 @@
             self._clear(fingerprint, now, ForwardingScope.ALL, now)
 
     def _record_end(self, fingerprint, incarnation, at, scope, now):
-        if not self._table.note(fingerprint, incarnation, at, now):
+        if not self._table.record_end(fingerprint, incarnation, at, now):
             return
         if scope is not None:
             pending = self._pending_reports.setdefault(
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/server_ends.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/server_ends.py
@@ -10,13 +10,13 @@
 :mod:`..decisions.crash_suspects` decides which requests to block.
 
     >>> table = EndsTable()
-    >>> table.note("f1", ("s1", 0), 0.0, 0.0)
+    >>> table.record_end("f1", ("s1", 0), 0.0, 0.0)
     True
-    >>> table.note("f1", ("s1", 0), 0.1, 0.1)
+    >>> table.record_end("f1", ("s1", 0), 0.1, 0.1)
     False
     >>> table.clear("f1", 0.2, 0.2)
     True
-    >>> table.note("f1", ("s2", 0), 0.3, 0.3)
+    >>> table.record_end("f1", ("s2", 0), 0.3, 0.3)
     False
 """
 
@@ -28,13 +28,13 @@
 # several.  The first covers many retries by the caller; the second prevents
 # a request that is sent every few minutes from crashing three servers each
 # time.
-KEEP_ONE = 300.0
-KEEP_SEVERAL = 3600.0
+ONE_END_RETENTION_SECONDS = 300.0
+SEVERAL_ENDS_RETENTION_SECONDS = 3600.0
 # Bounds on memory, at about half a kilobyte per record, and on the ends in
 # a record, which is somewhat more than any decision needs.  The records with
 # the oldest last end are evicted first.
-MOST_RECORDS = 4096
-MOST_ENDS = 24
+MAX_RECORDS = 4096
+MAX_ENDS_PER_RECORD = 24
 # A changed record enters the digest that is compared with other instances
 # after this delay: until then the change is on its way to them as a message.
 SETTLE_SECONDS = 1.5
@@ -109,7 +109,11 @@
         """
         if self.served:
             return "served"
-        return "many" if len(self.ends) >= MOST_ENDS else sorted(self.ends)
+        return (
+            "many"
+            if len(self.ends) >= MAX_ENDS_PER_RECORD
+            else sorted(self.ends)
+        )
 
     def retention_seconds(self):
         """Return the retention after the last change, in seconds."""
@@ -118,18 +122,22 @@
 
 def retention_seconds(end_count):
     """Return the retention of a record with so many ends, in seconds."""
-    return KEEP_SEVERAL if end_count > 1 else KEEP_ONE
+    return (
+        SEVERAL_ENDS_RETENTION_SECONDS
+        if end_count > 1
+        else ONE_END_RETENTION_SECONDS
+    )
 
 
 class EndsTable:
     """All suspects by fingerprint, with a digest for anti-entropy."""
 
-    __slots__ = ("suspects", "digest", "_under", "_settling")
+    __slots__ = ("suspects", "digest", "_fingerprints", "_settling")
 
     def __init__(self):
         self.suspects = {}
         self.digest = digests.TableDigest()
-        self._under = {}
+        self._fingerprints = {}
         self._settling = {}
 
     def settle(self, now):
@@ -144,23 +152,23 @@
             suspect = self.suspects[fingerprint]
             self.digest.put(fingerprint, suspect.content())
 
-    def under(self, incarnation):
+    def fingerprints_of(self, incarnation):
         """Return the fingerprints of an ended incarnation's open requests."""
-        return self._under.get(incarnation, frozenset())
+        return self._fingerprints.get(incarnation, frozenset())
 
-    def note(self, fingerprint, incarnation, at, now):
+    def record_end(self, fingerprint, incarnation, at, now):
         """Record an end at the time ``at``; return whether it was new."""
         suspect = self.suspects.get(fingerprint)
         if suspect is None:
             suspect = CrashSuspect(at)
         if suspect.served or incarnation in suspect.ends:
             return False
-        if len(suspect.ends) >= MOST_ENDS:
+        if len(suspect.ends) >= MAX_ENDS_PER_RECORD:
             suspect.last = max(suspect.last, at)
             return False
         suspect.ends[incarnation] = at
         suspect.last = max(suspect.last, at)
-        self._under.setdefault(incarnation, set()).add(fingerprint)
+        self._fingerprints.setdefault(incarnation, set()).add(fingerprint)
         self._put(fingerprint, suspect, now)
         return True
 
@@ -215,9 +223,9 @@
             for fingerprint, suspect in suspects.items()
             if now - suspect.last > suspect.retention_seconds()
         ]
-        if len(suspects) - len(removed) > MOST_RECORDS:
+        if len(suspects) - len(removed) > MAX_RECORDS:
             by_age = sorted(suspects, key=lambda item: suspects[item].last)
-            removed = by_age[: len(suspects) - MOST_RECORDS]
+            removed = by_age[: len(suspects) - MAX_RECORDS]
         for fingerprint in removed:
             self._remove_ends(fingerprint, suspects.pop(fingerprint))
             self._settling.pop(fingerprint, None)
@@ -230,8 +238,8 @@
 
     def _remove_ends(self, fingerprint, suspect):
         for incarnation in suspect.ends:
-            fingerprints = self._under[incarnation]
+            fingerprints = self._fingerprints[incarnation]
             fingerprints.discard(fingerprint)
             if not fingerprints:
-                del self._under[incarnation]
+                del self._fingerprints[incarnation]
         suspect.ends.clear()
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/crash_suspects.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/crash_suspects.py
@@ -84,7 +84,7 @@
 def _has_likelier_cause(table, fingerprint, incarnation):
     """Return whether another request is more likely to have crashed it."""
     own_crashes = len(table.suspects[fingerprint].ends)
-    for other in table.under(incarnation):
+    for other in table.fingerprints_of(incarnation):
         crashes = len(table.suspects[other].ends)
         if crashes > own_crashes and crashes >= CRASHES_TO_BLOCK:
             return True
--- a/tests/cover/test_crash_suspects.py
+++ b/tests/cover/test_crash_suspects.py
@@ -19,7 +19,7 @@
     table = server_ends.EndsTable()
     for fingerprint, names in ends.items():
         for name in names:
-            table.note(fingerprint, (name, 0), NOW, NOW)
+            table.record_end(fingerprint, (name, 0), NOW, NOW)
     return table
 
 
@@ -61,7 +61,7 @@
     table = table_of({"p": "abc"})
     assert table.clear("p", NOW, NOW)
     assert not is_blocked(table, "p")
-    assert not table.note("p", ("d", 0), NOW, NOW)
+    assert not table.record_end("p", ("d", 0), NOW, NOW)
 
 
 def test_a_server_that_is_heard_of_later_has_not_crashed():
@@ -85,7 +85,7 @@
     table = table_of({"p": "abc"})
     later = NOW + crash_suspects.BLOCK_SECONDS + 1.0
     assert not is_blocked(table, "p", now=later)
-    table.note("p", ("d", 0), later, later)
+    table.record_end("p", ("d", 0), later, later)
     assert is_blocked(table, "p", now=later)
 
 
@@ -123,7 +123,7 @@
         if name is None:
             table.clear(fingerprint, NOW, NOW)
         else:
-            table.note(fingerprint, (name, 0), NOW, NOW)
+            table.record_end(fingerprint, (name, 0), NOW, NOW)
         _send_records(rng.choice(tables), rng.choice(tables))
     for _ in range(2):
         for one in tables:
@@ -145,13 +145,13 @@
         if record.served:
             receiver.clear(fingerprint, NOW, NOW)
         for incarnation in list(record.ends):
-            receiver.note(fingerprint, incarnation, NOW, NOW)
+            receiver.record_end(fingerprint, incarnation, NOW, NOW)
 
 
 def test_forgotten_record_does_not_come_back():
     table = table_of({"p": "a"})
     other = table_of({"p": "a"})
-    later = NOW + server_ends.KEEP_ONE + 1.0
+    later = NOW + server_ends.ONE_END_RETENTION_SECONDS + 1.0
     assert table.remove_expired(later) == ["p"]
     assert table.is_forgotten(other.record_of("p", later), 0.0)
     assert table.digest.root == 0
@@ -160,11 +160,11 @@
 def test_table_is_bounded():
     table = server_ends.EndsTable()
     surplus = 100
-    for number in range(server_ends.MOST_RECORDS + surplus):
+    for number in range(server_ends.MAX_RECORDS + surplus):
         at = NOW + number / 1e4
-        table.note(f"f{number}", (f"s{number % 50}", 0), at, at)
+        table.record_end(f"f{number}", (f"s{number % 50}", 0), at, at)
     assert len(table.remove_expired(NOW + 1.0)) == surplus
     assert "f0" not in table.suspects
-    for number in range(2 * server_ends.MOST_ENDS):
-        table.note("p", (f"s{number}", 0), NOW, NOW)
-    assert len(table.suspects["p"].ends) == server_ends.MOST_ENDS
+    for number in range(2 * server_ends.MAX_ENDS_PER_RECORD):
+        table.record_end("p", (f"s{number}", 0), NOW, NOW)
+    assert len(table.suspects["p"].ends) == server_ends.MAX_ENDS_PER_RECORD
