--- a/packages/dandeliontrail/src/dandeliontrail/components/usage_windows.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/usage_windows.py
@@ -146,7 +146,7 @@
         if last is None or last == self._dropped_through:
             return []
         self._dropped_through = last
-        untold = self._counter.settle(last)
+        untold = self._counter.remove_decided(last)
         if not untold:
             return []
         fields = {"window": last, "requests": untold}
--- a/packages/dandeliontrail/src/dandeliontrail/components/window_decisions.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/window_decisions.py
@@ -52,7 +52,9 @@
         moment = clock.at(now)
         decided = self._duties.decided
         self._add_own_report(moment)
-        self._reports.settle(-1 if decided.last is None else decided.last)
+        self._reports.remove_decided(
+            -1 if decided.last is None else decided.last
+        )
         window = self._next_window(moment)
         end = (window + 1) * self._options.window
         ended_ago = moment - end
@@ -116,7 +118,7 @@
             if name not in keepers
             and member.standing is not LEFT
             and not self._is_lost(member, now)
-            and not self._reports.told_through(name, moment)
+            and not self._reports.has_reported_until(name, moment)
         ]
 
     def _is_lost(self, member, now):
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/usage_windows.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/usage_windows.py
@@ -99,7 +99,7 @@
         self._changed.clear()
         return self._window_uses(self._open)
 
-    def settle(self, through):
+    def remove_decided(self, through):
         """Remove all windows up to ``through``, which have been decided.
 
         Returns how many requests are in those of these windows that changed
@@ -171,7 +171,7 @@
         ]
         return min(windows, default=None)
 
-    def told_through(self, instance, wall_time):
+    def has_reported_until(self, instance, wall_time):
         """Return whether an instance reported all counts before a time."""
         return any(
             reported.through >= wall_time
@@ -179,7 +179,7 @@
             if publisher.instance == instance
         )
 
-    def settle(self, through):
+    def remove_decided(self, through):
         """Remove all windows up to ``through``, which have been decided.
 
         Also removes superseded publishers without any other window.
