--- a/packages/dandeliontrail-node/src/dandeliontrail_node/connection.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/connection.py
@@ -176,7 +176,7 @@
     return None
 
 
-def watch_path(sock):
+def enable_tcp_keepalive(sock):
     """Enable the kernel's detection of a connection whose path is lost."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/engine_client.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/engine_client.py
@@ -269,7 +269,7 @@
             connection_timeout=self._connect_seconds,
             network_timeout=self._silent_seconds,
         )
-        client._connection_pool.after_connect = connection.watch_path
+        client._connection_pool.after_connect = connection.enable_tcp_keepalive
         return client
 
     def cancel(self, url, request_id):
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/connections.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/connections.py
@@ -83,7 +83,7 @@
             conn.close()
         sock = connection.connect(address, self._connect_seconds)
         sock.settimeout(None)
-        connection.watch_path(sock)
+        connection.enable_tcp_keepalive(sock)
         return Connection(sock, address)
 
     def keep(self, conn, answer):
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/http_server.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/http_server.py
@@ -217,7 +217,7 @@
     def handle(self, client_socket, address):
         """Serve one connection, with TCP keep-alive probes enabled."""
         try:
-            connection.watch_path(client_socket)
+            connection.enable_tcp_keepalive(client_socket)
         except OSError:
             # The client has disconnected; serving the connection detects that.
             pass
