--- a/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
@@ -90,8 +90,9 @@
 class ServerRegistry:
     """All known backend servers by name, with digests for anti-entropy.
 
-    ``digest`` covers the servers whose lease has not expired; ``running_by_domain``
-    has the servers that accept work by failure domain.
+    ``digest`` covers the servers whose lease has not expired;
+    ``running_by_domain`` maps failure domains to the servers there that accept
+    work.
     """
 
     __slots__ = (
