--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/attempt.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/attempt.py
@@ -1,7 +1,7 @@
 """One attempt at one backend server: reads the head, then the outputs.
 
 An attempt whose server is silent has not failed: reading can be resumed
-after :class:`.upstream.Silent`.  Whether and when a hedged request goes to
+after :class:`.backend_request.Silent`.  Whether and when a hedged request goes to
 another server is not decided here.
 """
 
@@ -11,10 +11,10 @@
 
 from dandeliontrail import events
 
+from . import backend_request
 from . import connections as connections_module
 from . import dialect as dialect_module
 from . import events_splitter
-from . import upstream as upstream_module
 
 EVENT_STREAM = "text/event-stream"
 
@@ -129,7 +129,7 @@
         context = self._context
         dispatch = self.dispatch
         incoming = context.incoming
-        request = upstream_module.BackendRequest(
+        request = backend_request.BackendRequest(
             context.connections,
             connections_module.address_of(dispatch.url),
             context.dialect,
@@ -172,7 +172,7 @@
         self._is_stream = _is_stream(answer)
         if self._resuming and not self._is_stream:
             self._request.read_whole_body()
-            raise upstream_module.Broken(
+            raise backend_request.Broken(
                 f"stream not resumed: the server answered {answer.status}"
             )
         self._answer = answer
@@ -185,7 +185,7 @@
             data = request.read_body_part()
             if not data:
                 if self._splitter.pending:
-                    raise upstream_module.Broken(
+                    raise backend_request.Broken(
                         "the stream ended in the middle of an event"
                     )
                 return b""
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/forwarder.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/forwarder.py
@@ -24,11 +24,11 @@
 from .. import tokens
 from .. import wsgi
 from . import attempt as attempt_module
+from . import backend_request
 from . import caller_watch
 from . import events_splitter
 from . import exchange as exchange_module
 from . import readers as readers_module
-from . import upstream as upstream_module
 
 # Headers that apply to a single connection (RFC 9110, section 7.6.1) or that
 # this instance's HTTP server writes itself.
@@ -51,8 +51,8 @@
 # Errors that end one attempt; the reducer decides whether the request is
 # retried.
 FAILURES = (
-    upstream_module.NotSent,
-    upstream_module.Broken,
+    backend_request.NotSent,
+    backend_request.Broken,
     attempt_module.NotExecuted,
     attempt_module.ServerFailed,
     events_splitter.EventTooLong,
@@ -268,7 +268,7 @@
         """
         try:
             return self._attempt.next_output()
-        except upstream_module.Silent:
+        except backend_request.Silent:
             return self._read_first_output(self._attempt)
         except attempt_module.Superseded:
             # The reducer has ended the request: ``CutOff`` is about to be
@@ -357,7 +357,7 @@
     def _report_failure(self, attempt, exc):
         """Close an attempt and report to the reducer how it failed."""
         attempt.close()
-        if isinstance(exc, upstream_module.NotSent):
+        if isinstance(exc, backend_request.NotSent):
             self._submit(
                 events.NotBegun, attempt, server_said=False, detail=str(exc)
             )
