--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/forwarder.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/forwarder.py
@@ -24,11 +24,11 @@
 from .. import tokens
 from .. import wsgi
 from . import attempt as attempt_module
+from . import attempt_readers
 from . import backend_request
 from . import caller_watch
 from . import events_splitter
 from . import exchange as exchange_module
-from . import readers as readers_module
 
 # Headers that apply to a single connection (RFC 9110, section 7.6.1) or that
 # this instance's HTTP server writes itself.
@@ -219,7 +219,7 @@
         other refusal is raised as its problem; in the middle of a stream a
         stored answer cannot be used.
         """
-        effect = self._next_item(readers_module.ReadResult, effects.Withdraw)
+        effect = self._next_item(attempt_readers.ReadResult, effects.Withdraw)
         if isinstance(effect, effects.Dispatch):
             self._start_deadline_timer()
             self._attempt = self._new_attempt(effect, effect.patience.first)
@@ -274,7 +274,7 @@
             # The reducer has ended the request: ``CutOff`` is about to be
             # raised in this greenlet and ends the wait below.
             raise self._problem_of(
-                self._next_item(readers_module.ReadResult, effects.Withdraw)
+                self._next_item(attempt_readers.ReadResult, effects.Withdraw)
             )
         except FAILURES as exc:
             self._report_failure(self._attempt, exc)
@@ -288,12 +288,12 @@
         """
         silent_attempt.set_silence_timeout(None)
         pending = {silent_attempt.number: silent_attempt}
-        with readers_module.AttemptReaders(self._exchange) as readers:
+        with attempt_readers.AttemptReaders(self._exchange) as readers:
             readers.read(silent_attempt)
             self._submit(events.AttemptSilent, silent_attempt)
             while pending:
                 item = self._next_item()
-                if isinstance(item, readers_module.ReadResult):
+                if isinstance(item, attempt_readers.ReadResult):
                     output = self._output_of(item, pending)
                     if output is not None:
                         return output
