--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/metrics_app.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/metrics_app.py
@@ -1,7 +1,7 @@
 """A separate listener for counters and histograms."""
 
 from .. import wsgi
-from ..listeners import read_only
+from ..listeners import resource_views
 
 PATH = "/metrics"
 
@@ -16,4 +16,4 @@
         """Serve one request."""
         if environ["PATH_INFO"] != PATH:
             raise wsgi.not_found(environ["PATH_INFO"])
-        return read_only.reply_metrics(self._host, start_response)
+        return resource_views.reply_metrics(self._host, start_response)
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/operators.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/operators.py
@@ -5,7 +5,7 @@
 from .. import tokens
 from .. import wsgi
 from . import keepers
-from . import read_only
+from . import resource_views
 from . import watches
 from . import writes
 
@@ -49,7 +49,9 @@
     def _reply_metrics(self, environ, start_response):
         query = urllib.parse.parse_qs(environ.get("QUERY_STRING", ""))
         group_by = query.get("by", [""])[0]
-        return read_only.reply_metrics(self._host, start_response, group_by)
+        return resource_views.reply_metrics(
+            self._host, start_response, group_by
+        )
 
     def _read(self, segments, environ, start_response):
         if watches.is_requested(environ):
@@ -59,7 +61,7 @@
         if segments == ["keepers"]:
             value = keepers.listing(self._host)
         else:
-            value = read_only.get(self._host, segments)
+            value = resource_views.get(self._host, segments)
         return wsgi.reply_json(start_response, value)
 
     def _write(self, segments, author, environ):
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/writes.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/writes.py
@@ -12,7 +12,7 @@
 from dandeliontrail.resources import history
 
 from .. import wsgi
-from . import read_only
+from . import resource_views
 
 MAX_BODY_BYTES = 1024 * 1024
 MAX_BODY_SECONDS = 10.0
@@ -91,7 +91,7 @@
                 f"{method} is not supported here.",
                 "use GET, PUT, PATCH or DELETE",
             )
-        return read_only.after_write(self._host, segments, found)
+        return resource_views.after_write(self._host, segments, found)
 
     def _patch(self, segments, author, environ, fields):
         """Merge ``fields`` into an object and write the result.
@@ -104,7 +104,7 @@
         base_operation_id = _operation_id(environ)
         given = _if_match(environ)
         for attempt in range(MAX_PATCH_ATTEMPTS):
-            stored = read_only.stored_object(self._host, kind, name)
+            stored = resource_views.stored_object(self._host, kind, name)
             present = msgspec.json.decode(msgspec.json.encode(stored.spec))
             merged = merge_patch(present, msgspec.json.decode(fields))
             if_match = stored.version if given is None else given
