--- a/packages/dandeliontrail-node/src/dandeliontrail_node/hedge.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/hedge.py
@@ -32,7 +32,7 @@
     """Runs one more attempt as the reducer dispatches it.
 
     ``is_current`` tells whether a dispatch is still valid, ``new_reader``
-    returns the :class:`.reading.ResponseReader` for a dispatch, and
+    returns the :class:`.response_reader.ResponseReader` for a dispatch, and
     ``on_failure`` is called with a reader and the exception that ended it.
     """
 
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/worker.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/worker.py
@@ -14,12 +14,12 @@
 from dandeliontrail import effects
 from dandeliontrail import events
 
+from . import attempt_response
 from . import channel as channel_module
 from . import engine_client
 from . import hedge as hedge_module
 from . import problems
-from . import reading as reading_module
-from . import source as source_module
+from . import response_reader
 from . import transcript
 from . import wsgi
 
@@ -107,11 +107,11 @@
                 return effect
 
     def _new_reader(self, dispatch):
-        response = source_module.AttemptResponse(
+        response = attempt_response.AttemptResponse(
             self._host, self._engines, self._call, dispatch, self._limits
         )
         response.on_silence(self._handle_silence)
-        return reading_module.ResponseReader(
+        return response_reader.ResponseReader(
             self._host, self._call, response, self._delivered
         )
 
@@ -233,7 +233,7 @@
 
     def _relay_answer(self, reader):
         output = self._next_output(reader)
-        if isinstance(output, reading_module.BufferedAnswer):
+        if isinstance(output, response_reader.BufferedAnswer):
             self._send_buffered_answer(reader.dispatch, output)
             return
         while not output.startswith(transcript.DONE_EVENT):
