--- a/packages/dandeliontrail-node/src/dandeliontrail_node/attempt_response.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/attempt_response.py
@@ -13,7 +13,7 @@
 
 from . import connection
 from . import engine_client
-from . import silence
+from . import silence_monitor
 from . import transcript
 
 # Consecutive reconnections that yield no event before the attempt fails.
@@ -33,7 +33,7 @@
         self._call = call
         self.dispatch = dispatch
         self.url = dispatch.url
-        self.monitor = silence.StreamSilenceMonitor(
+        self.monitor = silence_monitor.StreamSilenceMonitor(
             engines, self, limits.backend_silent_seconds
         )
         self._answer = None
--- a/tests/cover/test_silent_engines.py
+++ b/tests/cover/test_silent_engines.py
@@ -7,7 +7,7 @@
 from dandeliontrail_lab import client
 from dandeliontrail_node import connection
 from dandeliontrail_node import engine_client
-from dandeliontrail_node import silence
+from dandeliontrail_node import silence_monitor
 
 from tests.common import world
 
@@ -20,8 +20,8 @@
 
 @pytest.fixture(autouse=True)
 def quick(monkeypatch):
-    monkeypatch.setattr(silence, "FIRST_SECONDS", 0.4)
-    monkeypatch.setattr(silence, "LEAST_GAP_SECONDS", 0.3)
+    monkeypatch.setattr(silence_monitor, "FIRST_SECONDS", 0.4)
+    monkeypatch.setattr(silence_monitor, "LEAST_GAP_SECONDS", 0.3)
     monkeypatch.setattr(engine_client, "PROBE_SECONDS", 0.3)
     monkeypatch.setattr(connection, "DEFAULT_SECONDS", 0.2)
 
--- a/tests/cover/test_streams_resume.py
+++ b/tests/cover/test_streams_resume.py
@@ -5,7 +5,7 @@
 
 from dandeliontrail_lab import client
 from dandeliontrail_node import engine_client
-from dandeliontrail_node import silence
+from dandeliontrail_node import silence_monitor
 
 from tests.common import world
 
@@ -47,8 +47,8 @@
 
 @pytest.fixture
 def quick(monkeypatch):
-    monkeypatch.setattr(silence, "FIRST_SECONDS", 0.4)
-    monkeypatch.setattr(silence, "LEAST_GAP_SECONDS", 0.3)
+    monkeypatch.setattr(silence_monitor, "FIRST_SECONDS", 0.4)
+    monkeypatch.setattr(silence_monitor, "LEAST_GAP_SECONDS", 0.3)
     monkeypatch.setattr(engine_client, "PROBE_SECONDS", 0.3)
 
 
