--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/attempt.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/attempt.py
@@ -1,8 +1,8 @@
 """One attempt at one backend server: reads the head, then the outputs.
 
 An attempt whose server is silent has not failed: reading can be resumed
-after :class:`.backend_request.Silent`.  Whether and when a hedged request goes to
-another server is not decided here.
+after :class:`.backend_request.Silent`.  Whether and when a hedged request goes
+to another server is not decided here.
 """
 
 import time
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
@@ -67,7 +67,7 @@
 
     ``expires`` and ``heard`` are times on this instance's monotonic clock;
     ``heard`` is when any instance first received the announcement.
-    ``content_hash`` is that of the announcement without sequence and load,
+    ``content_hash`` covers the announcement without sequence and load,
     ``lease`` the duration of the lease in seconds.
     """
 
