--- a/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/__init__.py
+++ b/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/__init__.py
@@ -1,3 +1,3 @@
-"""``dandelionctl``: the operators' command line."""
+"""``dandelionctl``: the command line for operators."""
 
 __version__ = "0.1.0"
--- a/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/api.py
+++ b/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/api.py
@@ -1,4 +1,4 @@
-"""Talks to the operators' listener of an instance."""
+"""HTTP client for the resource API on an instance's operators listener."""
 
 import urllib.parse
 
@@ -8,25 +8,28 @@
 
 import dandeliontrail
 
-SECONDS = 15.0
-# A watch sends a line every ten seconds at the least; a connection silent
-# for longer than two of them is dead.
-WATCH_SILENCE = 25.0
-ROOT = "/apis/v1/"
-CONFLICT = 409
-FAILURES = (OSError, geventhttpclient.response.HTTPParseError)
+REQUEST_TIMEOUT_SECONDS = 15.0
+# An idle watch sends a bookmark at least every ten seconds, so a connection
+# without data for more than two of these intervals is dead.
+WATCH_TIMEOUT_SECONDS = 25.0
+API_ROOT = "/apis/v1/"
+HTTP_CONFLICT = 409
+CONNECTION_ERRORS = (OSError, geventhttpclient.response.HTTPParseError)
 
 
 class ApiError(dandeliontrail.DandeliontrailError):
-    """An instance answered with an error; ``status`` is that of HTTP."""
+    """An instance returned an error, or could not be reached.
+
+    ``status`` is the HTTP status code, or 0 where there was no response.
+    """
 
     def __init__(self, status, message, remedy):
         super().__init__(message, remedy)
         self.status = status
 
 
-class Inner(msgspec.Struct):
-    """The error inside an answer."""
+class ErrorDetails(msgspec.Struct):
+    """The ``error`` object of an error response."""
 
     code: str = ""
     message: str = ""
@@ -34,13 +37,13 @@
 
 
 class ErrorAnswer(msgspec.Struct):
-    """An answer that is an error."""
+    """The body of an error response."""
 
-    error: Inner
+    error: ErrorDetails
 
 
 class Api:
-    """The resource API at one URL."""
+    """Client for the resource API of one instance."""
 
     def __init__(self, server, token=""):
         self.url = server
@@ -48,76 +51,82 @@
         if token:
             self._headers["Authorization"] = f"Bearer {token}"
 
-    def get(self, *words):
-        """Read a kind, or one object."""
-        return self._call("GET", words, b"", {})
+    def get(self, *path_segments):
+        """Return all objects of a kind, or one object."""
+        return self._call("GET", path_segments, b"", {})
 
     def put(self, kind, name, spec, **options):
-        """Write one object."""
+        """Create or replace one object."""
         body = msgspec.json.encode({"spec": spec})
-        return self._call("PUT", (kind, name), body, _options(options))
+        return self._call("PUT", (kind, name), body, _option_headers(options))
 
-    def post(self, *words, body=b"", **options):
-        """Ask for an action; a query may follow the last word."""
-        return self._call("POST", words, body, _options(options))
+    def post(self, *path_segments, body=b"", **options):
+        """Start an action; the last path segment may carry a query string."""
+        return self._call(
+            "POST", path_segments, body, _option_headers(options)
+        )
 
-    def watch(self, words, version):
-        """Yield each line of a watch from ``version`` on, decoded.
+    def watch(self, path_segments, version):
+        """Yield the decoded lines of a watch that starts after ``version``.
 
-        It ends where the connection does; the caller goes on from the
-        version of the last line.
+        The generator ends when the connection closes; the caller resumes
+        from the version of the last line.
         """
-        path = ROOT + "/".join(urllib.parse.quote(word) for word in words)
+        path = API_ROOT + "/".join(
+            urllib.parse.quote(segment) for segment in path_segments
+        )
         client = geventhttpclient.HTTPClient.from_url(
-            url_module.URL(self.url), network_timeout=WATCH_SILENCE
+            url_module.URL(self.url), network_timeout=WATCH_TIMEOUT_SECONDS
         )
         try:
             response = client.get(
                 f"{path}?watch=true&from={version}", self._headers
             )
             if response.status_code >= 400:
-                raise _error(response.status_code, response.read())
+                raise _response_error(response.status_code, response.read())
             while line := response.readline(b"\n"):
                 yield msgspec.json.decode(line)
-        except FAILURES as exc:
-            raise _no_answer(self.url, exc)
+        except CONNECTION_ERRORS as exc:
+            raise _unreachable_error(self.url, exc)
         finally:
             client.close()
 
     def delete(self, kind, name, **options):
         """Delete one object."""
-        return self._call("DELETE", (kind, name), b"", _options(options))
+        return self._call(
+            "DELETE", (kind, name), b"", _option_headers(options)
+        )
 
-    def _call(self, method, words, body, headers):
-        path = ROOT + "/".join(
-            urllib.parse.quote(word, safe="?=") for word in words
+    def _call(self, method, path_segments, body, headers):
+        path = API_ROOT + "/".join(
+            urllib.parse.quote(segment, safe="?=") for segment in path_segments
         )
         client = geventhttpclient.HTTPClient.from_url(
-            url_module.URL(self.url), network_timeout=SECONDS
+            url_module.URL(self.url), network_timeout=REQUEST_TIMEOUT_SECONDS
         )
         try:
             response = client.request(
                 method, path, body, {**self._headers, **headers}
             )
             text = response.read()
-        except FAILURES as exc:
-            raise _no_answer(self.url, exc)
+        except CONNECTION_ERRORS as exc:
+            raise _unreachable_error(self.url, exc)
         finally:
             client.close()
         if response.status_code >= 400:
-            raise _error(response.status_code, text)
+            raise _response_error(response.status_code, text)
         return msgspec.json.decode(text)
 
 
-def _no_answer(url, exc):
+def _unreachable_error(url, exc):
     return ApiError(
         0,
-        f"{url} does not answer: {exc}.",
-        "check --server, or name another instance",
+        f"{url} cannot be reached: {exc}.",
+        "check --server, or give another instance",
     )
 
 
-def _options(options):
+def _option_headers(options):
     headers = {}
     if options.get("if_match") is not None:
         headers["If-Match"] = str(options["if_match"])
@@ -126,9 +135,9 @@
     return headers
 
 
-def _error(status, text):
+def _response_error(status, text):
     try:
-        inner = msgspec.json.decode(text, type=ErrorAnswer).error
+        details = msgspec.json.decode(text, type=ErrorAnswer).error
     except msgspec.DecodeError:
         return ApiError(status, f"HTTP {status}.", "see the instance's log")
-    return ApiError(status, inner.message, inner.remedy)
+    return ApiError(status, details.message, details.remedy)
--- a/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/commands/__init__.py
+++ b/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands of ``dandelionctl``, by what they are for."""
+"""The commands of ``dandelionctl``, grouped by purpose."""
--- a/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/commands/changing.py
+++ b/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/commands/changing.py
@@ -1,4 +1,4 @@
-"""Commands that change what is declared, or check a change beforehand."""
+"""Commands that apply, validate, export and roll back declared objects."""
 
 import pathlib
 import typing
@@ -13,63 +13,66 @@
 from .. import documents
 from .. import options
 
-# A change without an answer is sent again under the same Operation-Id, to
-# the next instance named: it takes effect once, whichever takes it.
-ATTEMPTS = 4
-PAUSE_SECONDS = 1.0
-TRY_AGAIN = (0, 503, 504)
+# A change whose outcome is unknown is resent with the same Operation-Id to
+# the next instance in the list.  The Operation-Id makes it idempotent: it
+# takes effect once, whichever instance accepts it.
+MAX_ATTEMPTS = 4
+RETRY_PAUSE_SECONDS = 1.0
+RETRYABLE_STATUSES = (0, 503, 504)
 
-# A YAML file, or a folder of such files.
-File = typing.Annotated[
+# The ``-f``/``--file`` option: a YAML file, or a folder of YAML files.
+FileOption = typing.Annotated[
     pathlib.Path, cyclopts.Parameter(name=["-f", "--file"])
 ]
 
 
 def apply(
     *,
-    f: File,
+    f: FileOption,
     operation_id: str = "",
     target: options.Target = options.Target(),
 ):
-    """Write the objects in a file or a folder, as one atomic change.
+    """Create or replace the objects in a file or folder, as one atomic change.
 
     Example: dandelionctl apply -f examples/derwent/resources
 
     Parameters
     ----------
     f
-        A YAML file, or a folder of such files.
+        A YAML file, or a folder of YAML files.
     operation_id
-        Makes a resend after a lost answer return the first result.
+        Idempotency key: a retry with the same id returns the first result.
     """
-    found = documents.read_documents(f)
-    result = _send(target, ("changes",), _operations(found), operation_id)
-    print(f"{len(found)} objects applied at version {result['version']}")
+    objects = documents.read_documents(f)
+    result = _send_with_retries(
+        target, ("changes",), _encode_operations(objects), operation_id
+    )
+    print(f"{len(objects)} objects applied at version {result['version']}")
 
 
-def check(*, f: File, target: options.Target = options.Target()):
-    """Check the objects in a file or a folder, and change nothing.
+def check(*, f: FileOption, target: options.Target = options.Target()):
+    """Validate the objects in a file or folder without applying them.
 
     Example: dandelionctl check -f examples/derwent/resources
     """
-    found = documents.read_documents(f)
+    objects = documents.read_documents(f)
     server = target.api()
-    server.post("changes?dry_run=true", body=_operations(found))
-    print(f"{len(found)} objects are good")
+    server.post("changes?dry_run=true", body=_encode_operations(objects))
+    print(f"{len(objects)} objects are valid")
 
 
 def export(*, target: options.Target = options.Target()):
-    """Print all declared objects as a file that ``apply -f`` takes.
+    """Print all declared objects as YAML that ``apply -f`` accepts.
 
     Example: dandelionctl export > backup.yaml
     """
     server = target.api()
-    found = [
+    objects = [
         {"kind": kind, "name": item["name"], "spec": item["spec"]}
-        for kind in documents.KINDS
+        for kind in documents.KINDS_IN_APPLY_ORDER
         for item in server.get(kind)["items"]
     ]
-    print(yaml.safe_dump_all(found, sort_keys=False), end="")
+    print(yaml.safe_dump_all(objects, sort_keys=False), end="")
 
 
 def rollback(
@@ -78,23 +81,23 @@
     operation_id: str = "",
     target: options.Target = options.Target(),
 ):
-    """Bring all objects back to an earlier version, by a new change.
+    """Restore all objects to an earlier version, as a new change.
 
     Example: dandelionctl rollback --to 1204
 
     Parameters
     ----------
     to
-        A version from ``dandelionctl history``.
+        The version to restore, from ``dandelionctl history``.
     operation_id
-        Makes a resend after a lost answer return the first result.
+        Idempotency key: a retry with the same id returns the first result.
     """
     body = msgspec.json.encode({"to": to})
-    result = _send(target, ("rollback",), body, operation_id)
-    print(f"back at the objects of {to}, at version {result['version']}")
+    result = _send_with_retries(target, ("rollback",), body, operation_id)
+    print(f"objects of version {to} restored, at version {result['version']}")
 
 
-def _operations(found):
+def _encode_operations(objects):
     operations = [
         {
             "verb": "put",
@@ -102,26 +105,35 @@
             "name": item.name,
             "spec": item.spec,
         }
-        for item in found
+        for item in objects
     ]
     return msgspec.json.encode({"operations": operations})
 
 
-def _send(target, words, body, operation_id):
-    """Send one change until its result is known, a few times at most."""
+def _send_with_retries(target, path_segments, body, operation_id):
+    """Send one change, and retry while its outcome is unknown.
+
+    Raises the last :class:`api.ApiError` after ``MAX_ATTEMPTS`` attempts, or
+    the first one whose status says that a retry cannot help.
+    """
     servers = target.apis()
     operation_id = operation_id or str(uuid.uuid4())
-    for attempt in range(ATTEMPTS):
+    for attempt in range(MAX_ATTEMPTS):
         server = servers[attempt % len(servers)]
         try:
-            return server.post(*words, body=body, operation_id=operation_id)
+            return server.post(
+                *path_segments, body=body, operation_id=operation_id
+            )
         except api.ApiError as exc:
-            if exc.status not in TRY_AGAIN or attempt == ATTEMPTS - 1:
+            if (
+                exc.status not in RETRYABLE_STATUSES
+                or attempt == MAX_ATTEMPTS - 1
+            ):
                 raise
-        gevent.sleep(PAUSE_SECONDS)
+        gevent.sleep(RETRY_PAUSE_SECONDS)
 
 
 def register(app):
-    """Add the commands of this module."""
+    """Add this module's commands to ``app``."""
     for command in (apply, check, export, rollback):
         app.command(command)
--- a/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/commands/drain.py
+++ b/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/commands/drain.py
@@ -20,57 +20,61 @@
     seconds: float = 360.0,
     target: options.Target = options.Target(),
 ):
-    """Let an instance finish what it has, take no more, and end.
+    """Stop an instance after it has finished its open requests.
 
-    It is the same drain as on SIGTERM.  A second one ends it at once.
+    The instance accepts no new requests, as after SIGTERM.  A second drain
+    stops it immediately.
 
     Example: dandelionctl drain derwent-a1 --server http://10.40.1.11:8002
 
     Parameters
     ----------
     instance
-        Its name, which must be that of the instance at --server.
+        Name of the instance; must match the instance at --server.
     wait
-        Return only when it has ended.
+        Wait until the instance has stopped.
     seconds
-        How long to wait at the most.
+        Maximum time to wait, in seconds.
     """
     server = target.api()
-    _require_name(server, instance)
+    _verify_instance_name(server, instance)
     server.post("drain")
     if wait:
-        _wait_for_end(server, instance, seconds)
+        _wait_for_exit(server, instance, seconds)
     print(f"{instance} {'has ended' if wait else 'is draining'}")
 
 
-def _require_name(server, instance):
-    """Refuse to drain whatever else may answer at the address."""
-    found = server.get("status")["instance"]
-    if found != instance:
+def _verify_instance_name(server, instance):
+    """Raise an error if another instance listens at the address."""
+    actual_name = server.get("status")["instance"]
+    if actual_name != instance:
         raise dandeliontrail.SettingsError(
-            f"The instance at {server.url} is {found!r}, not {instance!r}.",
-            "give --server the operators listener of the instance meant",
+            f"The instance at {server.url} is {actual_name!r},"
+            f" not {instance!r}.",
+            "set --server to the operators listener of the instance to drain",
         )
 
 
-def _wait_for_end(server, instance, seconds):
+def _wait_for_exit(server, instance, seconds):
     deadline = time.monotonic() + seconds
     console = rich.console.Console(file=sys.stderr)
-    with console.status(f"{instance} drains") as shown:
+    with console.status(f"draining {instance}") as spinner:
         while time.monotonic() < deadline:
             try:
-                left = server.get("status")["open_requests"]
+                open_requests = server.get("status")["open_requests"]
             except api.ApiError:
                 return
-            shown.update(f"{instance} drains, {left} requests left")
+            spinner.update(
+                f"draining {instance}, {open_requests} open requests"
+            )
             gevent.sleep(POLL_SECONDS)
     raise api.ApiError(
         0,
-        f"{instance} has not ended after {seconds:g} s.",
-        "look at its log, or drain it again to end it at once",
+        f"{instance} has not stopped after {seconds:g} s.",
+        "check its log, or drain it again to stop it immediately",
     )
 
 
 def register(app):
-    """Add the commands of this module."""
+    """Add this module's commands to ``app``."""
     app.command(drain)
--- a/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/commands/keepers.py
+++ b/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/commands/keepers.py
@@ -1,4 +1,7 @@
-"""Commands on the keepers: list, add, remove."""
+"""Commands that list, add and remove keepers.
+
+Keepers are the voting replicas of the configuration log.
+"""
 
 import time
 
@@ -9,10 +12,13 @@
 from .. import options
 from .. import tables
 
-WAIT_SECONDS = 30.0
+MAX_WAIT_SECONDS = 30.0
 POLL_SECONDS = 0.3
 
-app = cyclopts.App(name="keepers", help="See and change who is a keeper.")
+app = cyclopts.App(
+    name="keepers",
+    help="List, add and remove keepers, the voters of the configuration log.",
+)
 
 
 @app.command(name="list")
@@ -21,7 +27,7 @@
     output: options.Output = options.Output.TABLE,
     target: options.Target = options.Target(),
 ):
-    """Show the keepers, the folder that each votes by, and who leads.
+    """Show the keepers, the id of each one's data folder, and the leader.
 
     Example: dandelionctl keepers list
     """
@@ -30,42 +36,43 @@
 
 @app.command
 def add(name: str, *, target: options.Target = options.Target()):
-    """Make an instance with a disk a keeper, once it has caught up.
+    """Make an instance with a disk a keeper, once its log is up to date.
 
     Example: dandelionctl keepers add derwent-b1
     """
     server = target.api()
     server.post("keepers", name)
-    _wait(server, lambda names: name in names)
+    _wait_for_voters(server, lambda names: name in names)
     print(f"{name} is a keeper")
 
 
 @app.command
 def remove(name: str, *, target: options.Target = options.Target()):
-    """Take an instance out of the keepers; its log counts no longer.
+    """Remove an instance from the keepers; it no longer counts for quorum.
 
     Example: dandelionctl keepers remove derwent-b1
     """
     server = target.api()
     server.delete("keepers", name)
-    _wait(server, lambda names: name not in names)
-    print(f"{name} is no keeper")
+    _wait_for_voters(server, lambda names: name not in names)
+    print(f"{name} is no longer a keeper")
 
 
-def _wait(server, holds):
-    deadline = time.monotonic() + WAIT_SECONDS
+def _wait_for_voters(server, is_done):
+    deadline = time.monotonic() + MAX_WAIT_SECONDS
     while time.monotonic() < deadline:
         items = server.get("keepers")["items"]
-        if holds([item["name"] for item in items]):
+        if is_done([item["name"] for item in items]):
             return
         gevent.sleep(POLL_SECONDS)
     raise api.ApiError(
         0,
-        f"It was begun but is not done after {WAIT_SECONDS:g} s.",
-        "look at dandelionctl keepers list and at the new keeper's log",
+        "The change of keepers was started but is not finished after"
+        f" {MAX_WAIT_SECONDS:g} s.",
+        "run dandelionctl keepers list and check the new keeper's log",
     )
 
 
 def register(parent):
-    """Add the commands of this module."""
+    """Add this module's commands to ``parent``."""
     parent.command(app)
--- a/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/commands/objects.py
+++ b/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/commands/objects.py
@@ -23,10 +23,10 @@
         organisations, requestclasses, backendpools, modelplacements,
         backendservers, instances or usage.
     name
-        The one object to show.
+        Name of the object to show; all objects of the kind if omitted.
     """
-    words = (kind, name) if name else (kind,)
-    options.show(target.api().get(*words), output, tables.listing)
+    path_segments = (kind, name) if name else (kind,)
+    options.show(target.api().get(*path_segments), output, tables.listing)
 
 
 def describe(
@@ -36,15 +36,15 @@
     output: options.Output = options.Output.TABLE,
     target: options.Target = options.Target(),
 ):
-    """Show all of one object: its spec, its status and where it is in force.
+    """Show one object in full: spec, status and where it is in force.
 
     Example: dandelionctl describe requestclasses intake
     """
     value = target.api().get(kind, name)
-    options.show(value, output, _described)
+    options.show(value, output, _description_tables)
 
 
-def _described(value):
+def _description_tables(value):
     return rich.console.Group(*tables.description(value))
 
 
@@ -63,9 +63,9 @@
     Parameters
     ----------
     if_match
-        Delete only if this is the object's present version.
+        Delete only if the object is still at this version.
     operation_id
-        Makes a resend after a lost answer return the first result.
+        Idempotency key: a retry with the same id returns the first result.
     """
     target.api().delete(
         kind, name, if_match=if_match, operation_id=operation_id
@@ -74,6 +74,6 @@
 
 
 def register(app):
-    """Add the commands of this module."""
+    """Add this module's commands to ``app``."""
     for command in (get, describe, delete):
         app.command(command)
--- a/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/commands/overview.py
+++ b/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/commands/overview.py
@@ -1,4 +1,4 @@
-"""Commands that show the system as a whole: status, usage."""
+"""Commands that show the state of the whole system: status, usage."""
 
 import collections
 
@@ -12,14 +12,14 @@
 
 
 class Unreachable(msgspec.Struct):
-    """An instance that did not answer, and why."""
+    """An instance that could not be reached, and the error."""
 
     server: str
     error: str
 
 
 class Overview(msgspec.Struct):
-    """What all instances that could be reached say, put together."""
+    """The combined state of all instances that could be reached."""
 
     instances: list[dict]
     unreachable: list[Unreachable]
@@ -31,38 +31,38 @@
     output: options.Output = options.Output.TABLE,
     target: options.Target = options.Target(),
 ):
-    """Show the state of all instances named, with merged histograms.
+    """Show the state of all given instances, with merged latency histograms.
 
     Example: dandelionctl status --server http://127.0.0.1:8002
     """
-    found = survey(target.apis())
-    options.show(found, output, _panels)
+    found = collect_overview(target.apis())
+    options.show(found, output, _overview_tables)
 
 
-def survey(servers):
-    """Ask all instances at once and return an :class:`Overview`.
+def collect_overview(servers):
+    """Query all instances concurrently and return an :class:`Overview`.
 
-    One that does not answer is listed as such.  Only if none answers is
-    that an error.
+    Instances that cannot be reached are listed in ``unreachable``.  Raises
+    :class:`api.ApiError` only if no instance can be reached.
     """
-    jobs = [gevent.spawn(_ask, server) for server in servers]
-    answers = [job.get() for job in jobs]
-    heard = [item for item in answers if not isinstance(item, Unreachable)]
-    silent = [item for item in answers if isinstance(item, Unreachable)]
-    if not heard:
+    greenlets = [gevent.spawn(_query_instance, server) for server in servers]
+    answers = [greenlet.get() for greenlet in greenlets]
+    responses = [item for item in answers if not isinstance(item, Unreachable)]
+    failures = [item for item in answers if isinstance(item, Unreachable)]
+    if not responses:
         raise api.ApiError(
-            0, silent[0].error, "check --server, or name another instance"
+            0, failures[0].error, "check --server, or give another instance"
         )
     series = collections.defaultdict(list)
-    for _, histograms in heard:
+    for _, histograms in responses:
         for item in histograms:
             series[(item.by, item.name, item.metric)].append(item)
     return Overview(
-        [state for state, _ in heard], silent, tables.quantiles(series)
+        [state for state, _ in responses], failures, tables.quantiles(series)
     )
 
 
-def _ask(server):
+def _query_instance(server):
     try:
         state = server.get("status")
         listing = server.get("histograms")
@@ -71,7 +71,7 @@
     return state, msgspec.convert(listing["items"], list[tables.Series])
 
 
-def _panels(found):
+def _overview_tables(found):
     parts = [tables.status(found.instances)]
     if found.latency:
         parts.append(tables.latency(found.latency))
@@ -85,7 +85,7 @@
     output: options.Output = options.Output.TABLE,
     target: options.Target = options.Target(),
 ):
-    """Show what each organisation used.
+    """Show the usage of each organisation: requests and tokens.
 
     Example: dandelionctl usage --output json
     """
@@ -93,6 +93,6 @@
 
 
 def register(app):
-    """Add the commands of this module."""
+    """Add this module's commands to ``app``."""
     for command in (status, usage):
         app.command(command)
--- a/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/commands/watching.py
+++ b/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/commands/watching.py
@@ -7,8 +7,8 @@
 from .. import api
 from .. import options
 
-PAUSE_SECONDS = 1.0
-GONE = 410
+RECONNECT_PAUSE_SECONDS = 1.0
+HTTP_GONE = 410
 
 
 def watch(
@@ -19,48 +19,50 @@
     count: int = 0,
     target: options.Target = options.Target(),
 ):
-    """Print each change of a kind, an object or all, as a JSON line.
+    """Print each change to a kind, an object or everything, as a JSON line.
 
-    A watch that breaks off goes on where it was, at the next instance
-    named, and neither misses nor repeats a change.
+    If the connection breaks, the watch resumes at the next given instance,
+    and neither misses nor repeats a change.
 
     Example: dandelionctl watch requestclasses --since 1204
 
     Parameters
     ----------
     kind
-        The kind to watch; all kinds where it is left out.
+        The kind to watch; all kinds if omitted.
     name
-        The one object to watch.
+        Name of the object to watch; all objects of the kind if omitted.
     since
-        The version after which to begin; the present one where left out.
+        Print changes after this version; the current one if omitted.
     count
-        End after this many changes; 0 never ends.
+        Stop after this many changes; 0 means never.
     """
-    words = (kind, name) if name else (kind,)
+    path_segments = (kind, name) if name else (kind,)
     servers = target.apis()
     if since is None:
         since = servers[0].get("history")["version"]
-    left = count
-    turn = 0
+    remaining = count
+    attempt = 0
     while True:
-        server = servers[turn % len(servers)]
+        server = servers[attempt % len(servers)]
         try:
-            for line in server.watch(words, since):
+            for line in server.watch(path_segments, since):
                 if line["type"] == "gone":
-                    raise api.ApiError(GONE, line["message"], line["remedy"])
+                    raise api.ApiError(
+                        HTTP_GONE, line["message"], line["remedy"]
+                    )
                 since = line["version"]
                 if line["type"] == "bookmark":
                     continue
                 print(msgspec.json.encode(line).decode(), flush=True)
-                left -= 1
-                if left == 0:
+                remaining -= 1
+                if remaining == 0:
                     return
         except api.ApiError as exc:
             if exc.status not in (0, 503):
                 raise
-        turn += 1
-        gevent.sleep(PAUSE_SECONDS)
+        attempt += 1
+        gevent.sleep(RECONNECT_PAUSE_SECONDS)
 
 
 def history(
@@ -72,10 +74,10 @@
 
     Example: dandelionctl history --output json
     """
-    options.show(target.api().get("history"), output, _table)
+    options.show(target.api().get("history"), output, _history_table)
 
 
-def _table(listing):
+def _history_table(listing):
     table = rich.table.Table(title="history")
     for heading in ("version", "author", "operation_id", "objects"):
         table.add_column(heading)
@@ -90,6 +92,6 @@
 
 
 def register(app):
-    """Add the commands of this module."""
+    """Add this module's commands to ``app``."""
     for command in (watch, history):
         app.command(command)
--- a/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/documents.py
+++ b/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/documents.py
@@ -1,4 +1,4 @@
-"""Objects in files, as operators keep them."""
+"""Reads declared objects from YAML files."""
 
 import pathlib
 import typing
@@ -7,8 +7,9 @@
 import msgspec
 import yaml
 
-# Objects are applied in this order, since later kinds name earlier ones.
-KINDS = (
+# Later kinds refer to objects of earlier ones, so they are applied after
+# them.
+KINDS_IN_APPLY_ORDER = (
     "backendpools",
     "requestclasses",
     "organisations",
@@ -17,7 +18,10 @@
 
 
 class Document(msgspec.Struct, forbid_unknown_fields=True):
-    """One object in a file; what ``get`` prints is one too."""
+    """One object in a file.
+
+    What ``get`` prints for one object as YAML is accepted too.
+    """
 
     kind: str
     name: str
@@ -27,9 +31,11 @@
 
 
 def read_documents(path):
-    """Return the objects in a file, or in all files of a folder.
+    """Return the objects in a file, or in all YAML files of a folder.
 
-    They come in an order in which each finds what it names.
+    They are sorted so that an object comes after those it refers to.
+    Raises :class:`dandeliontrail.SettingsError` for a folder without YAML
+    files, an unreadable file or an invalid document.
     """
     path = pathlib.Path(path)
     files = sorted(path.glob("*.yaml")) if path.is_dir() else [path]
@@ -41,7 +47,7 @@
     documents = []
     for file in files:
         documents.extend(_read_file(file))
-    return sorted(documents, key=_kind_order)
+    return sorted(documents, key=_apply_order)
 
 
 def _read_file(file):
@@ -59,7 +65,7 @@
         )
 
 
-def _kind_order(document):
-    if document.kind not in KINDS:
-        return len(KINDS)
-    return KINDS.index(document.kind)
+def _apply_order(document):
+    if document.kind not in KINDS_IN_APPLY_ORDER:
+        return len(KINDS_IN_APPLY_ORDER)
+    return KINDS_IN_APPLY_ORDER.index(document.kind)
--- a/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/jsonlog.py
+++ b/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/jsonlog.py
@@ -1,4 +1,4 @@
-"""Errors as JSON lines on standard error, like the logs of an instance."""
+"""Prints errors as JSON lines on standard error, as instances log."""
 
 import logging
 import sys
@@ -7,7 +7,7 @@
 
 
 def error(message, remedy):
-    """Write one error line."""
+    """Write one error with its remedy as a JSON line."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         jsonlogger.JsonFormatter(
--- a/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/main.py
+++ b/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/main.py
@@ -1,6 +1,7 @@
-"""The command line of ``dandelionctl``.
+"""The entry point of ``dandelionctl``.
 
-Exit codes: 0 done, 1 failed, 2 bad usage or input, 3 conflict.
+Exit codes: 0 success, 1 failure, 2 bad usage or input, 3 version conflict,
+130 interrupted.
 """
 
 from gevent import monkey
@@ -24,22 +25,22 @@
 
 EXIT_DONE = 0
 EXIT_FAILED = 1
-EXIT_INPUT = 2
+EXIT_BAD_INPUT = 2
 EXIT_CONFLICT = 3
-BAD_REQUEST = 400
-INTERRUPTED = 130
+HTTP_BAD_REQUEST = 400
+EXIT_INTERRUPTED = 130
 
 app = cyclopts.App(
     name="dandelionctl",
     version=__version__,
-    help="Declare and watch objects of dandeliontrail, and see how it does.",
+    help="Declare and watch objects of dandeliontrail, and show its state.",
 )
 for module in (changing, watching, objects, overview, drain, keepers):
     module.register(app)
 
 
-def _add_lab():
-    """Add the lab's commands where the lab is installed."""
+def _register_lab_commands():
+    """Add the ``lab`` commands if dandeliontrail_lab is installed."""
     try:
         from dandeliontrail_lab import commands
     except ImportError:
@@ -48,8 +49,8 @@
 
 
 def run(argv=None):
-    """Run the command line and exit with its code."""
-    _add_lab()
+    """Run the command line and exit the process with its exit code."""
+    _register_lab_commands()
     sys.exit(exit_code(argv))
 
 
@@ -64,20 +65,20 @@
         )
     except cyclopts.CycloptsError as exc:
         jsonlog.error(" ".join(str(exc).split()), "see --help")
-        return EXIT_INPUT
+        return EXIT_BAD_INPUT
     except dandeliontrail.DandeliontrailError as exc:
         jsonlog.error(exc.message, exc.remedy)
-        return _code_of(exc)
+        return _exit_code_for(exc)
     except KeyboardInterrupt:
-        return INTERRUPTED
+        return EXIT_INTERRUPTED
     return result if isinstance(result, int) else EXIT_DONE
 
 
-def _code_of(exc):
+def _exit_code_for(exc):
     if not isinstance(exc, api.ApiError):
-        return EXIT_INPUT
-    if exc.status == api.CONFLICT:
+        return EXIT_BAD_INPUT
+    if exc.status == api.HTTP_CONFLICT:
         return EXIT_CONFLICT
-    if exc.status == BAD_REQUEST:
-        return EXIT_INPUT
+    if exc.status == HTTP_BAD_REQUEST:
+        return EXIT_BAD_INPUT
     return EXIT_FAILED
--- a/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/options.py
+++ b/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/options.py
@@ -1,8 +1,8 @@
-"""The options that all commands share, and the file with their defaults.
+"""Options shared by all commands, and the config file with their defaults.
 
-An option on the command line goes before the file, and the file before the
-built-in default.  The file is ``--config``, or ``$DANDELIONCTL_CONFIG``, or
-``~/.config/dandelionctl.yaml`` where there is one::
+Command-line options override the config file, which overrides the built-in
+defaults.  The config file is ``--config``, else ``$DANDELIONCTL_CONFIG``,
+else ``~/.config/dandelionctl.yaml`` if that exists::
 
     servers: [http://10.40.1.11:8002, http://10.40.2.11:8002]
     token_file: /home/on-call/token
@@ -28,7 +28,7 @@
 
 
 class Output(enum.Enum):
-    """How results are printed."""
+    """Output format."""
 
     TABLE = "table"
     JSON = "json"
@@ -36,7 +36,7 @@
 
 
 class ConfigFile(msgspec.Struct, forbid_unknown_fields=True):
-    """What the config file may hold."""
+    """The contents of the config file."""
 
     servers: list[str] = []
     token_file: str = ""
@@ -45,16 +45,16 @@
 @cyclopts.Parameter(name="*")
 @dataclasses.dataclass(slots=True)
 class Target:
-    """Which instances to ask, and as whom.
+    """The instances to connect to, and the credentials for them.
 
     Parameters
     ----------
     server
-        URL of an instance's operators listener; may be given more than once.
+        URL of an instance's operators listener; can be repeated.
     token_file
-        File with the bearer token.
+        File that contains the bearer token.
     config
-        YAML file with ``servers`` and ``token_file``.
+        YAML file with defaults for ``servers`` and ``token_file``.
     """
 
     server: typing.Annotated[
@@ -64,22 +64,26 @@
     config: str = ""
 
     def api(self):
-        """Return the API of the first instance named."""
+        """Return a client for the first given instance."""
         return self.apis()[0]
 
     def apis(self):
-        """Return the API of every instance named."""
-        held = load_config(self.config)
-        servers = self.server or held.servers or [DEFAULT_SERVER]
-        token = _read_token(self.token_file or held.token_file)
-        return [api.Api(_checked(server), token) for server in servers]
+        """Return a client for each given instance."""
+        config_file = load_config(self.config)
+        servers = self.server or config_file.servers or [DEFAULT_SERVER]
+        token = _read_token(self.token_file or config_file.token_file)
+        return [api.Api(_validate_url(server), token) for server in servers]
 
 
 def load_config(path):
-    """Return the config file at ``path``, or at its customary places."""
-    named = path or os.environ.get(CONFIG_VARIABLE, "")
-    file = pathlib.Path(named or CONFIG_PATH).expanduser()
-    if not named and not file.exists():
+    """Return the config file at ``path``, or at a default location.
+
+    Raises :class:`dandeliontrail.SettingsError` if it cannot be read or is
+    invalid.
+    """
+    explicit_path = path or os.environ.get(CONFIG_VARIABLE, "")
+    file = pathlib.Path(explicit_path or CONFIG_PATH).expanduser()
+    if not explicit_path and not file.exists():
         return ConfigFile()
     try:
         return msgspec.convert(yaml.safe_load(file.read_text()), ConfigFile)
@@ -103,7 +107,7 @@
         )
 
 
-def _checked(server):
+def _validate_url(server):
     if server.startswith(("http://", "https://")):
         return server
     raise dandeliontrail.SettingsError(
@@ -112,23 +116,23 @@
     )
 
 
-def show(value, output, table):
-    """Print ``value`` in the chosen form; ``table`` makes it a table."""
+def show(value, output, to_table):
+    """Print ``value`` in the given format; ``to_table`` renders a table."""
     if output is Output.JSON:
         print(msgspec.json.format(msgspec.json.encode(value)).decode())
     elif output is Output.YAML:
         plain = msgspec.to_builtins(value)
         print(yaml.safe_dump(plain, sort_keys=False), end="")
     else:
-        console().print(table(value))
+        console().print(to_table(value))
 
 
 def console():
-    """Return a console that cuts nothing off where no one is looking."""
-    made = rich.console.Console()
-    if made.is_terminal:
-        return made
-    return rich.console.Console(width=WIDE)
+    """Return a console; one wide enough not to truncate if not a terminal."""
+    terminal = rich.console.Console()
+    if terminal.is_terminal:
+        return terminal
+    return rich.console.Console(width=NON_TERMINAL_WIDTH)
 
 
-WIDE = 200
+NON_TERMINAL_WIDTH = 200
--- a/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/tables.py
+++ b/packages/dandeliontrail-ctl/src/dandeliontrail_ctl/tables.py
@@ -1,16 +1,16 @@
-"""Tables that people can read."""
+"""Renders API responses as tables for a terminal."""
 
 from hdrh import histogram
 import msgspec
 import rich.table
 
-MICROSECONDS = 1000.0
-# Columns of a listing that would only repeat its title, or fill the screen.
-HIDDEN = ("announcement", "kind", "spec")
+MICROSECONDS_PER_MS = 1000.0
+# Omitted from listings: they repeat the title or are too wide.
+HIDDEN_COLUMNS = ("announcement", "kind", "spec")
 
 
 class Series(msgspec.Struct):
-    """One histogram, as an instance sends it."""
+    """One encoded HdrHistogram, as an instance returns it."""
 
     metric: str
     by: str
@@ -20,7 +20,7 @@
 
 
 class Quantiles(msgspec.Struct):
-    """A histogram merged over instances, in milliseconds."""
+    """Quantiles of a histogram merged over instances, in milliseconds."""
 
     by: str
     name: str
@@ -31,8 +31,8 @@
     p99: float
 
 
-def merged(series):
-    """Return one histogram with all the values of ``series``."""
+def merge_histograms(series):
+    """Return one histogram with the values of all ``series``."""
     first, *rest = [
         histogram.HdrHistogram.decode(item.encoded) for item in series
     ]
@@ -42,26 +42,31 @@
 
 
 def quantiles(series):
-    """Return the quantiles of a map from (by, name, metric) to series."""
+    """Return the :class:`Quantiles` of each key of ``series``.
+
+    ``series`` maps (by, name, metric) to the histograms to merge.
+    """
     return [
-        _quantiles_of(key, merged(parts))
+        _quantiles_of(key, merge_histograms(parts))
         for key, parts in sorted(series.items())
     ]
 
 
-def _quantiles_of(key, held):
+def _quantiles_of(key, merged):
     values = [
-        round(held.get_value_at_percentile(share) / MICROSECONDS, 3)
-        for share in (50.0, 95.0, 99.0)
+        round(
+            merged.get_value_at_percentile(percentile) / MICROSECONDS_PER_MS, 3
+        )
+        for percentile in (50.0, 95.0, 99.0)
     ]
-    return Quantiles(*key, held.get_total_count(), *values)
+    return Quantiles(*key, merged.get_total_count(), *values)
 
 
 def latency(rows):
-    """Return a table of merged histograms."""
+    """Return a table of latency :class:`Quantiles`."""
     table = rich.table.Table(title="Latency, ms")
     for heading in Quantiles.__struct_fields__:
-        table.add_column(heading, justify=_side(heading))
+        table.add_column(heading, justify=_justification(heading))
     for row in rows:
         table.add_row(
             row.by,
@@ -75,14 +80,15 @@
     return table
 
 
-def _side(heading):
+def _justification(heading):
     return "left" if heading in ("by", "name", "metric") else "right"
 
 
 def status(rows):
-    """Return a table with one line for each instance.
+    """Return a table with one row for each instance.
 
-    What is nested is left to ``--output json``, but for what waits.
+    Nested fields other than ``waiting`` are omitted; ``--output json``
+    shows them.
     """
     table = rich.table.Table(title="Instances")
     headings = [
@@ -91,36 +97,41 @@
         if heading == "waiting" or not isinstance(value, (dict, list))
     ]
     for heading in headings:
-        table.add_column(_title(heading), overflow="fold")
+        table.add_column(_column_title(heading), overflow="fold")
     for row in rows:
         table.add_row(*[cell(row.get(heading)) for heading in headings])
     return table
 
 
-def _title(heading):
+def _column_title(heading):
     return heading.replace("_", " ")
 
 
 def listing(value):
-    """Return a table of the objects of one kind, or of one object."""
+    """Return a table of all objects of a kind, or of a single object."""
     items = value["items"] if "items" in value else [value]
     table = rich.table.Table(title=value["kind"])
-    rows = [_flat(item) for item in items]
+    rows = [_listing_row(item) for item in items]
     headings = list(rows[0]) if rows else ["name"]
     for heading in headings:
-        table.add_column(_title(heading), overflow="fold")
+        table.add_column(_column_title(heading), overflow="fold")
     for row in rows:
         table.add_row(*[cell(row.get(heading)) for heading in headings])
     return table
 
 
-def _flat(item):
-    """Return the columns of one object.
+def _listing_row(item):
+    """Return one object as a flat mapping from column to value.
 
-    The fields of its spec come after its name, since they are what a
-    listing is read for, and of its status where it is in force.
+    The spec fields follow the name, because they are what operators look
+    for in a listing.  Of the status, only the conditions and where the
+    object is in force are included.
     """
-    row = {key: item[key] for key in item if key not in (*HIDDEN, "status")}
+    row = {
+        key: item[key]
+        for key in item
+        if key not in (*HIDDEN_COLUMNS, "status")
+    }
     row.update(item.get("spec") or {})
     found = item.get("status")
     if found:
@@ -134,54 +145,54 @@
 
 
 def description(value):
-    """Yield the tables that tell all of one object."""
-    for key, inner in value.items():
-        if isinstance(inner, dict):
-            yield _pairs(key, inner)
-    yield _pairs("object", _plain(value))
+    """Yield a table for each nested mapping of an object, then its scalars."""
+    for key, field_value in value.items():
+        if isinstance(field_value, dict):
+            yield _key_value_table(key, field_value)
+    yield _key_value_table("object", _scalar_fields(value))
 
 
-def _plain(value):
+def _scalar_fields(value):
     return {
-        key: inner
-        for key, inner in value.items()
-        if not isinstance(inner, dict)
+        key: field_value
+        for key, field_value in value.items()
+        if not isinstance(field_value, dict)
     }
 
 
-def _pairs(title, mapping):
+def _key_value_table(title, mapping):
     table = rich.table.Table(title=title, show_header=False)
     table.add_column("key")
     table.add_column("value", overflow="fold")
-    for key, inner in mapping.items():
-        table.add_row(_title(key), cell(inner))
+    for key, field_value in mapping.items():
+        table.add_row(_column_title(key), cell(field_value))
     return table
 
 
 def cell(value):
-    """Return the text of one value; nested ones become short JSON."""
+    """Return the text of one table cell; nested values are flattened."""
     if value is None or value == [] or value == {}:
         return ""
     if isinstance(value, list) and all(isinstance(x, str) for x in value):
-        return ", ".join(_short(text) for text in value)
+        return ", ".join(_shorten_hash(text) for text in value)
     if isinstance(value, dict):
         return ", ".join(
-            f"{key}: {cell(inner)}"
-            for key, inner in value.items()
-            if inner not in (None, "", [], {})
+            f"{key}: {cell(field_value)}"
+            for key, field_value in value.items()
+            if field_value not in (None, "", [], {})
         )
     if isinstance(value, list):
-        return ", ".join(_item(inner) for inner in value)
-    return _short(str(value))
+        return ", ".join(_list_item_text(field_value) for field_value in value)
+    return _shorten_hash(str(value))
 
 
-def _item(value):
-    """Return the name of an object in a list, or the object itself."""
+def _list_item_text(value):
+    """Return the name of an object in a list, or else its flattened text."""
     if isinstance(value, dict) and "name" in value:
         return str(value["name"])
     return cell(value)
 
 
-def _short(text):
-    """Cut the digits of a key's hash, which nobody compares by eye."""
+def _shorten_hash(text):
+    """Truncate the hash of a key; nobody compares its digits by eye."""
     return text[:19] + "…" if text.startswith("sha256:") else text
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/demo.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/demo.py
@@ -134,6 +134,6 @@
         api.Api(f"http://{address}")
         for address in deployment.addresses("operators")
     ]
-    found = overview.survey(servers)
+    found = overview.collect_overview(servers)
     console.print(tables.latency(found.latency))
     console.print(tables.status(found.instances))
--- a/tests/cover/test_dandelionctl.py
+++ b/tests/cover/test_dandelionctl.py
@@ -1,4 +1,4 @@
-"""The operators' command line against running instances."""
+"""``dandelionctl`` against running instances."""
 
 import json
 import subprocess
@@ -21,14 +21,14 @@
 
 @pytest.fixture
 def run(capsys):
-    """Run one command line; return code, output and error line."""
+    """Run one command line; return its exit code, output and error line."""
 
-    def run_one(*words):
+    def run_command(*words):
         code = main.exit_code(list(words))
         out, err = capsys.readouterr()
         return code, out, json.loads(err) if err else None
 
-    return run_one
+    return run_command
 
 
 def url_of(instance):
@@ -40,12 +40,12 @@
         servers = [made.instance("i1"), made.instance("i2", "fd2")]
         made.engine("e1")
         made.apply(LOOKUP)
-        for one in servers:
-            address = one.addresses["callers"]
+        for instance in servers:
+            address = instance.addresses["callers"]
             client.send(client.Ask(address, world.KEY, "", "hello"))
         words = ["status", "--output", "json"]
-        for one in servers:
-            words += ["--server", url_of(one)]
+        for instance in servers:
+            words += ["--server", url_of(instance)]
         words += ["--server", "http://127.0.0.1:9"]
         code, out, _ = run(*words)
     found = json.loads(out)
@@ -64,20 +64,22 @@
 
 def test_can_show_objects_in_each_form(run, tmp_path):
     with world.World() as made:
-        one = made.instance("i1")
+        instance = made.instance("i1")
         made.apply(LOOKUP)
         config = tmp_path / "ctl.yaml"
-        config.write_text(f"servers: ['{url_of(one)}']")
-        told = ("--config", str(config))
-        _, table, _ = run("get", "requestclasses", *told)
+        config.write_text(f"servers: ['{url_of(instance)}']")
+        config_option = ("--config", str(config))
+        _, table, _ = run("get", "requestclasses", *config_option)
         assert "lookup" in table and "priority" in table
-        _, out, _ = run("get", "requestclasses", "--output", "json", *told)
+        _, out, _ = run(
+            "get", "requestclasses", "--output", "json", *config_option
+        )
         assert json.loads(out)["items"][0]["name"] == "lookup"
-        _, out, _ = run("describe", "requestclasses", "lookup", *told)
+        _, out, _ = run("describe", "requestclasses", "lookup", *config_option)
         assert "in force" in out and "minimum share" in out
-        code, _, err = run("get", "requestclasses", "none", *told)
+        code, _, err = run("get", "requestclasses", "none", *config_option)
         assert code == 1 and err["remedy"]
-        stale = ("--if-match", "99", *told)
+        stale = ("--if-match", "99", *config_option)
         code, _, err = run("delete", "requestclasses", "lookup", *stale)
         assert code == 3 and err["remedy"]
 
@@ -116,8 +118,8 @@
 
 
 def test_drain_over_http_finishes_what_runs(run):
-    # An operator drains an instance that has a long answer under way.  The
-    # answer must come whole, and the instance must end by itself.
+    # An instance is drained while it streams a long answer: the answer must
+    # be complete, and the process must exit by itself with code 0.
     with processes.Deployment(["i1"], ["fd1"]) as deployment:
         url = f"http://{deployment.addresses('operators')[0]}"
         code, _, err = run("drain", "i2", "--server", url)
@@ -129,8 +131,8 @@
     assert deployment.exit_codes == [0]
 
 
-def is_ready(address):
-    """Tell whether an instance says that callers may come."""
+def is_ready_for_callers(address):
+    """Return whether an instance reports that it accepts requests."""
     try:
         with urllib.request.urlopen(f"http://{address}/readyz") as reply:
             return reply.status == 200
@@ -139,7 +141,7 @@
 
 
 def start_long_answer(deployment, url):
-    """Start a request of some seconds and return once it runs."""
+    """Start a request that takes some seconds; return once it is running."""
     served = engine.Engine("e1", "fd1", ["small"], 4, batch.Pace(step=0.01))
     served.start()
     gevent.spawn(served.announce, deployment.addresses("backend_servers"))
@@ -150,9 +152,9 @@
     server.put("organisations", "lab", key)
     world.wait_until(lambda: server.get("status")["serving_backend_servers"])
     address = deployment.addresses("callers")[0]
-    # As the balancer does: an instance that is not ready yet, which takes a
-    # tick after its first change, says "not run" and is right to.
-    world.wait_until(lambda: is_ready(address))
+    # Wait as a load balancer does: an instance becomes ready a tick after its
+    # first change, and correctly refuses requests with "not run" until then.
+    world.wait_until(lambda: is_ready_for_callers(address))
     ask = client.Ask(address, "k", "", "hello", max_tokens=100)
     job = gevent.spawn(client.send, ask)
     world.wait_until(lambda: served.batch.begun)
