--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/soak/__init__.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/soak/__init__.py
@@ -1,6 +1,8 @@
-"""Long randomised runs over real processes, with the promises checked.
+"""Randomised fault-injection runs over real processes.
 
-Instances are killed, frozen, drained and robbed of their disks, engines
-crash and fall silent, and operators race, while numbered requests go
-through.  What callers were told is then compared with what engines ran.
+While numbered requests are sent, instances are killed, frozen, drained or
+lose their disks, engines crash or stop responding, and operators make
+concurrent writes.  Afterwards the responses that callers received are
+compared with what the engines ran, and the system's invariants are
+checked.
 """
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/soak/callers.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/soak/callers.py
@@ -1,7 +1,7 @@
-"""Callers with numbered requests, who note what they are told.
+"""Callers that send numbered requests and record the responses.
 
-Each request asks for a length of its own, so that an answer that belongs
-to another request, or lacks a piece, shows.
+The requested length depends on the request number, so that a truncated
+answer, or an answer to another request, is detected.
 """
 
 import dataclasses
@@ -11,19 +11,19 @@
 
 from .. import client
 
-SHORTEST = 3
-LENGTHS = 40
-# A caller asks again this often, with the same key, for what may only run
-# once and must land.
-RESENDS = 40
-RESEND_PAUSE = 0.5
-ATTEMPT_SECONDS = 15.0
+MIN_TOKENS = 3
+DISTINCT_TOKEN_COUNTS = 40
+# A non-repeatable request with an idempotency key is sent up to this often,
+# until it succeeds.
+MAX_SENDS = 40
+RESEND_PAUSE_SECONDS = 0.5
+ATTEMPT_TIMEOUT_SECONDS = 15.0
 KEY = "soak-key"
 
 
 @dataclasses.dataclass(slots=True)
-class Told:
-    """What a caller was told in the end about one request."""
+class RequestRecord:
+    """The final response to one request, and how it was sent."""
 
     number: int
     class_name: str
@@ -34,84 +34,93 @@
 
 
 class Callers:
-    """Sends requests of three kinds until told to stop."""
+    """Sends requests of three kinds until ``stopping`` is set."""
 
     def __init__(self, cluster, rng):
         self._cluster = cluster
         self._rng = rng
         self._numbers = itertools.count(1)
-        self.told = []
-        self.under_way = 0
+        self.records = []
+        self.open_requests = 0
         self.stopping = False
 
     def start(self, count):
         """Start ``count`` callers of each kind."""
-        kinds = (self._lookup, self._summary, self._order)
-        return [gevent.spawn(self._loop, kind) for kind in kinds * count]
+        request_kinds = (
+            self._send_lookup,
+            self._send_summary,
+            self._send_summary_without_key,
+        )
+        return [
+            gevent.spawn(self._loop, send_request)
+            for send_request in request_kinds * count
+        ]
 
-    def _loop(self, kind):
+    def _loop(self, send_request):
         while not self.stopping:
-            self.under_way += 1
+            self.open_requests += 1
             try:
-                kind(next(self._numbers))
+                send_request(next(self._numbers))
             finally:
-                self.under_way -= 1
+                self.open_requests -= 1
             gevent.sleep(self._rng.random() * 0.2)
 
-    def _lookup(self, number):
-        """A repeatable request, sent once."""
+    def _send_lookup(self, number):
+        """Send a repeatable request once."""
         self._send(number, "lookup", "", 1)
 
-    def _summary(self, number):
-        """May run once, has a key, and is resent until it has landed."""
-        self._send(number, "summary", f"summary-{number}", RESENDS)
+    def _send_summary(self, number):
+        """Send a non-repeatable request with a key, until it succeeds."""
+        self._send(number, "summary", f"summary-{number}", MAX_SENDS)
 
-    def _order(self, number):
-        """May run once and has no key, so the caller sends it once."""
+    def _send_summary_without_key(self, number):
+        """Send a non-repeatable request without a key, hence only once."""
         self._send(number, "summary", "", 1)
 
-    def _send(self, number, class_name, key, most):
+    def _send(self, number, class_name, key, max_sends):
         instances = []
         answer = client.Answer(0, error="no instance was ready")
         sends = 0
-        while sends < most:
+        while sends < max_sends:
             instance = self._cluster.pick(self._rng)
             if instance is None:
-                gevent.sleep(RESEND_PAUSE)
+                gevent.sleep(RESEND_PAUSE_SECONDS)
                 sends += 1
                 continue
             sends += 1
             instances.append(instance)
-            answer = self._ask(number, class_name, key, instance)
+            answer = self._send_once(number, class_name, key, instance)
             if answer.complete or (self.stopping and not key):
                 break
-            gevent.sleep(RESEND_PAUSE)
-        self.told.append(
-            Told(number, class_name, bool(key), sends, answer, instances)
+            gevent.sleep(RESEND_PAUSE_SECONDS)
+        self.records.append(
+            RequestRecord(
+                number, class_name, bool(key), sends, answer, instances
+            )
         )
 
-    def _ask(self, number, class_name, key, instance):
-        ask = client.Ask(
+    def _send_once(self, number, class_name, key, instance):
+        request = client.Ask(
             self._cluster.callers(instance),
             KEY,
             class_name,
             f"#{number}#",
             stream=number % 4 != 0,
-            max_tokens=wanted_tokens(number),
+            max_tokens=requested_tokens(number),
             idempotency_key=key,
-            timeout=ATTEMPT_SECONDS,
+            timeout=ATTEMPT_TIMEOUT_SECONDS,
         )
-        with gevent.Timeout(ATTEMPT_SECONDS * 2, False):
-            return client.send(ask)
+        with gevent.Timeout(ATTEMPT_TIMEOUT_SECONDS * 2, False):
+            return client.send(request)
         return client.Answer(0, error="no answer in time")
 
 
-def wanted_tokens(number):
-    """Return how many tokens request ``number`` asks for."""
-    return SHORTEST + number * 7 % LENGTHS
+def requested_tokens(number):
+    """Return the number of tokens that request ``number`` asks for."""
+    return MIN_TOKENS + number * 7 % DISTINCT_TOKEN_COUNTS
 
 
 def expected_text(number):
-    """Return the answer that belongs to request ``number`` alone."""
-    words = [f"w{index}" for index in range(wanted_tokens(number))]
+    """Return the complete answer to request ``number``."""
+    words = [f"w{index}" for index in range(requested_tokens(number))]
     return " ".join(words) + " "
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/soak/cluster.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/soak/cluster.py
@@ -1,4 +1,4 @@
-"""The instances under test, and what a balancer knows of them."""
+"""The instances under test, and a load balancer's view of them."""
 
 import os
 import shutil
@@ -11,8 +11,8 @@
 from .. import processes
 
 POLL_SECONDS = 0.2
-POLL_TIMEOUT = 0.5
-LIMITS = {
+POLL_TIMEOUT_SECONDS = 0.5
+INSTANCE_LIMITS = {
     "drain_notice_seconds": 1.0,
     "drain_seconds": 60.0,
     "backend_silent_seconds": 5.0,
@@ -20,7 +20,7 @@
 
 
 class Cluster:
-    """A deployment whose instances come and go."""
+    """A deployment whose instances are stopped, killed and restarted."""
 
     def __init__(self, deployment, names, keepers):
         self._deployment = deployment
@@ -33,11 +33,11 @@
         self.exit_codes = []
 
     def callers(self, name):
-        """Return the callers' address of an instance."""
+        """Return the address of an instance's callers listener."""
         return self._address(name, "callers")
 
     def operators(self, name):
-        """Return the operators' address of an instance."""
+        """Return the address of an instance's operators listener."""
         return self._address(name, "operators")
 
     def _address(self, name, listener):
@@ -45,12 +45,15 @@
         return self._deployment.instances[index].addresses[listener]
 
     def pick(self, rng):
-        """Return an instance that the balancer holds for ready."""
+        """Return a random instance that passed its last readiness check.
+
+        Returns ``None`` if there is none.
+        """
         ready = sorted(self.ready)
         return rng.choice(ready) if ready else None
 
     def watch_ready(self):
-        """Ask every instance for ever whether it is ready."""
+        """Poll the readiness of every instance, forever."""
         while True:
             for name in self.names:
                 gevent.spawn(self._poll, name)
@@ -61,7 +64,7 @@
         status = 0
         try:
             client = geventhttpclient.HTTPClient(
-                host, int(port), network_timeout=POLL_TIMEOUT
+                host, int(port), network_timeout=POLL_TIMEOUT_SECONDS
             )
             status = client.get("/readyz").status_code
             client.close()
@@ -76,11 +79,11 @@
         return self._deployment.instances[self.names.index(name)].process
 
     def alive(self, name):
-        """Tell whether the process of an instance runs, frozen or not."""
+        """Return whether the process of an instance exists, frozen or not."""
         return self._process(name).poll() is None
 
     def kill(self, name, lose_disk=False):
-        """Kill an instance, and take its disk away if asked to."""
+        """Kill an instance; ``lose_disk`` also deletes its data folder."""
         self.killed_at[name] = time.monotonic()
         process = self._process(name)
         process.kill()
@@ -90,7 +93,7 @@
             shutil.rmtree(folder, ignore_errors=True)
 
     def drain(self, name):
-        """Stop an instance gracefully and wait for its end."""
+        """Send SIGTERM to an instance and wait until it exits."""
         self.drained_at[name] = time.monotonic()
         process = self._process(name)
         process.send_signal(signal.SIGTERM)
@@ -99,13 +102,13 @@
         self.exit_codes.append(process.returncode)
 
     def restart(self, name):
-        """Start an instance that has ended, at its old addresses."""
+        """Start an instance that has exited, at its previous addresses."""
         index = self.names.index(name)
         ports = self._deployment.instances[index].addresses
         self._deployment.start(index, ports)
 
     def freeze(self, name, seconds):
-        """Stop an instance for a while, as a bad host does."""
+        """Suspend an instance for ``seconds``, like a stalled host."""
         pid = self._process(name).pid
         self.frozen.add(name)
         self.killed_at[name] = time.monotonic()
@@ -116,7 +119,7 @@
 
 
 def new_deployment(names, domains, keepers):
-    """Return the deployment of a soak, not yet started."""
+    """Return the deployment of a soak run, not yet started."""
     return processes.Deployment(
-        names, domains, extra={"limits": LIMITS}, keepers=keepers
+        names, domains, extra={"limits": INSTANCE_LIMITS}, keepers=keepers
     )
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/soak/faults.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/soak/faults.py
@@ -1,29 +1,29 @@
-"""What goes wrong in a soak, drawn from a seed."""
+"""Random faults of a soak run, reproducible from its seed."""
 
 import gevent
 
 from . import repair
 
-SHORTEST_PAUSE = 1.0
-LONGEST_PAUSE = 4.0
-LONGEST_FREEZE = 8.0
-# So many instances may be in trouble at a time.
-MOST_AT_ONCE = 3
+MIN_PAUSE_SECONDS = 1.0
+MAX_PAUSE_SECONDS = 4.0
+MAX_FREEZE_SECONDS = 8.0
+# Maximum number of instances with a fault at the same time.
+MAX_FAULTY_INSTANCES = 3
 
 
-class Faults:
-    """Brings trouble to instances and engines until told to stop."""
+class FaultInjector:
+    """Injects faults into instances and engines until ``stopping`` is set."""
 
     def __init__(self, cluster, engines, rng):
         self._cluster = cluster
         self._engines = engines
         self._rng = rng
-        self._troubled = set()
-        self.counted = {}
+        self._faulty = set()
+        self.counts = {}
         self.log = []
         self.stopping = False
         self._repairing = False
-        self._kinds = (
+        self._fault_kinds = (
             self._kill,
             self._freeze,
             self._drain,
@@ -34,60 +34,63 @@
         )
 
     def run(self):
-        """Cause one fault after the other, some of them overlapping."""
-        jobs = []
+        """Start one fault after another; they may overlap."""
+        greenlets = []
         while not self.stopping:
-            kind = self._rng.choice(self._kinds)
-            jobs.append(gevent.spawn(kind))
-            pause = LONGEST_PAUSE - SHORTEST_PAUSE
-            gevent.sleep(SHORTEST_PAUSE + pause * self._rng.random())
-        gevent.joinall(jobs)
-
-    def _note(self, kind, name):
-        self.counted[kind] = self.counted.get(kind, 0) + 1
+            kind = self._rng.choice(self._fault_kinds)
+            greenlets.append(gevent.spawn(kind))
+            pause_range = MAX_PAUSE_SECONDS - MIN_PAUSE_SECONDS
+            gevent.sleep(MIN_PAUSE_SECONDS + pause_range * self._rng.random())
+        gevent.joinall(greenlets)
+
+    def _record(self, kind, name):
+        self.counts[kind] = self.counts.get(kind, 0) + 1
         self.log.append((kind, name))
 
-    def _take(self):
-        """Return an instance that is in no trouble yet, or ``None``."""
-        if len(self._troubled) >= MOST_AT_ONCE:
+    def _pick_healthy(self):
+        """Reserve and return an instance without a fault.
+
+        Returns ``None`` if the maximum number have a fault already.
+        """
+        if len(self._faulty) >= MAX_FAULTY_INSTANCES:
             return None
-        free = sorted(set(self._cluster.names) - self._troubled)
-        name = self._rng.choice(free)
-        self._troubled.add(name)
+        healthy = sorted(set(self._cluster.names) - self._faulty)
+        name = self._rng.choice(healthy)
+        self._faulty.add(name)
         return name
 
     def _kill(self):
-        name = self._take()
+        name = self._pick_healthy()
         if name is None:
             return
-        self._note("instance killed", name)
+        self._record("instance killed", name)
         self._cluster.kill(name)
         gevent.sleep(self._rng.random() * 3.0)
         self._cluster.restart(name)
-        self._troubled.discard(name)
+        self._faulty.discard(name)
 
     def _freeze(self):
-        name = self._take()
+        name = self._pick_healthy()
         if name is None:
             return
-        self._note("instance frozen", name)
-        self._cluster.freeze(name, self._rng.random() * LONGEST_FREEZE)
-        self._troubled.discard(name)
+        self._record("instance frozen", name)
+        self._cluster.freeze(name, self._rng.random() * MAX_FREEZE_SECONDS)
+        self._faulty.discard(name)
 
     def _lose_disk(self):
-        """Lose a keeper's disk, repair it, and lose the next one at once.
+        """Lose a keeper's disk, replace the keeper, then kill another one.
 
-        The keeper comes back with an empty folder, which must not vote.
-        An operator takes it out and puts it in again; then a second keeper
-        is killed right after the repair.
+        The keeper restarts with an empty data folder, which must not vote.
+        An operator removes it from the keepers and adds it again.  A second
+        keeper is killed immediately after this repair.
         """
-        keepers = sorted(set(self._cluster.keepers) - self._troubled)
+        keepers = sorted(set(self._cluster.keepers) - self._faulty)
         if self._repairing or len(keepers) < len(self._cluster.keepers):
             return
         self._repairing = True
         lost, second = self._rng.sample(keepers, 2)
-        self._troubled.update((lost, second))
-        self._note("keeper's disk lost and repaired", lost)
+        self._faulty.update((lost, second))
+        self._record("keeper's disk lost and repaired", lost)
         self._cluster.kill(lost, lose_disk=True)
         self._cluster.restart(lost)
         if repair.replace_keeper(self._cluster, lost):
@@ -95,27 +98,27 @@
             self._cluster.restart(second)
         else:
             self.log.append(("repair failed", lost))
-        self._troubled.difference_update((lost, second))
+        self._faulty.difference_update((lost, second))
         self._repairing = False
 
     def _drain(self):
-        name = self._take()
+        name = self._pick_healthy()
         if name is None:
             return
-        self._note("instance drained", name)
+        self._record("instance drained", name)
         self._cluster.drain(name)
         self._cluster.restart(name)
-        self._troubled.discard(name)
+        self._faulty.discard(name)
 
     def _engine_crash(self):
         engine = self._rng.choice(self._engines)
-        self._note("engine crashed", engine.name)
+        self._record("engine crashed", engine.name)
         engine.restart()
 
     def _engine_freeze(self):
-        """Let an engine accept and say nothing for a while."""
+        """Make an engine accept requests but stall for some seconds."""
         engine = self._rng.choice(self._engines)
-        self._note("engine frozen", engine.name)
+        self._record("engine frozen", engine.name)
         step = engine.batch.pace.step
         engine.batch.pace.step = 3.0
         gevent.sleep(3.0)
@@ -123,9 +126,9 @@
 
     def _engine_leave(self):
         engine = self._rng.choice(self._engines)
-        self._note("engine left", engine.name)
+        self._record("engine left", engine.name)
         engine.leaving = True
         gevent.sleep(4.0)
         engine.leaving = False
-        # A server that leaves comes back as a new start of itself.
+        # A server that has left may only return with a new epoch.
         engine.restart()
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/soak/operators.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/soak/operators.py
@@ -1,4 +1,4 @@
-"""Operators who race one another, and a watcher of what is in force."""
+"""Concurrent conditional writes, and a reader that checks versions."""
 
 import dataclasses
 import time
@@ -7,26 +7,26 @@
 
 from dandeliontrail_ctl import api
 
-PAUSE = 0.3
-WATCH_PAUSE = 0.2
-KIND = "organisations"
-NAME = "raced"
-BASE_WEIGHT = 1.0
+WRITE_PAUSE_SECONDS = 0.3
+READ_PAUSE_SECONDS = 0.2
+OBJECT_KIND = "organisations"
+OBJECT_NAME = "raced"
+INITIAL_WEIGHT = 1.0
 
 
 @dataclasses.dataclass(slots=True)
 class Write:
-    """An accepted conditional write."""
+    """A conditional write that was accepted."""
 
     author: int
-    base: int
+    base_version: int
     version: int
     weight: float
-    at: float
+    accepted_at: float
 
 
-class Operators:
-    """Conditional writes to one object through any instance."""
+class ConcurrentWriters:
+    """Makes conditional writes to one object through random instances."""
 
     def __init__(self, cluster, rng):
         self._cluster = cluster
@@ -36,56 +36,56 @@
         self.unknown = 0
         self.refused = 0
         self.stopping = False
-        self._weight = BASE_WEIGHT
-        self._operations = 0
+        self._weight = INITIAL_WEIGHT
+        self._operation_count = 0
 
     def run(self, author):
-        """Write again and again, resending what got no answer."""
+        """Write in a loop until ``stopping`` is set."""
         while not self.stopping:
-            gevent.sleep(PAUSE * self._rng.random())
+            gevent.sleep(WRITE_PAUSE_SECONDS * self._rng.random())
             name = self._cluster.pick(self._rng)
             if name is not None:
                 self._write(author, name)
 
     def _write(self, author, name):
-        server = self._server(name)
+        server = self._api(name)
         try:
-            base = server.get(KIND, NAME)["version"]
+            base_version = server.get(OBJECT_KIND, OBJECT_NAME)["version"]
         except api.ApiError:
             return
         self._weight += 1.0
-        self._operations += 1
+        self._operation_count += 1
         weight = self._weight
-        operation = f"soak-{author}-{self._operations}"
-        self._put(author, base, weight, operation)
+        operation_id = f"soak-{author}-{self._operation_count}"
+        self._put(author, base_version, weight, operation_id)
 
-    def _put(self, author, base, weight, operation):
-        """Write, and resend under the same id until there is an answer."""
+    def _put(self, author, base_version, weight, operation_id):
+        """Write, and retry with the same id until the outcome is known."""
         while True:
             name = self._cluster.pick(self._rng)
             if name is None:
-                gevent.sleep(PAUSE)
+                gevent.sleep(WRITE_PAUSE_SECONDS)
                 continue
             try:
-                written = self._server(name).put(
-                    KIND,
-                    NAME,
+                written = self._api(name).put(
+                    OBJECT_KIND,
+                    OBJECT_NAME,
                     {"weight": weight},
-                    if_match=base,
-                    operation_id=operation,
+                    if_match=base_version,
+                    operation_id=operation_id,
                 )
             except api.ApiError as exc:
                 if self._is_final(exc):
                     return
-                gevent.sleep(PAUSE)
+                gevent.sleep(WRITE_PAUSE_SECONDS)
                 continue
-            # The answer shows the object as it is now, which may be a
-            # later one than this write's.
+            # The response holds the current object, which a later write may
+            # have replaced already.
             if written["spec"]["weight"] == weight:
                 self.accepted.append(
                     Write(
                         author,
-                        base,
+                        base_version,
                         written["version"],
                         weight,
                         time.monotonic(),
@@ -105,12 +105,16 @@
             return self.stopping
         return True
 
-    def _server(self, name):
+    def _api(self, name):
         return api.Api(f"http://{self._cluster.operators(name)}")
 
 
 class Watcher:
-    """Reads the object from every instance and keeps what it saw."""
+    """Reads the object from each instance and records its versions.
+
+    ``reverts`` lists reads of an older version than before, ``diverged``
+    those of a version whose content differs from an earlier read.
+    """
 
     def __init__(self, cluster):
         self._cluster = cluster
@@ -120,25 +124,28 @@
         self.diverged = []
 
     def run(self, name):
-        """Read from one instance for ever."""
+        """Read from one instance, forever."""
         while True:
-            gevent.sleep(WATCH_PAUSE)
+            gevent.sleep(READ_PAUSE_SECONDS)
             if name in self._cluster.ready:
                 self.read(name)
 
     def read(self, name):
-        """Read once, and compare with all that was seen before."""
+        """Read once, and compare with all earlier reads.
+
+        Returns the version, or ``None`` if the read failed.
+        """
         url = f"http://{self._cluster.operators(name)}"
         try:
-            found = api.Api(url).get(KIND, NAME)
+            stored = api.Api(url).get(OBJECT_KIND, OBJECT_NAME)
         except api.ApiError:
             return None
-        version = found["version"]
-        weight = found["spec"]["weight"]
-        before = self.seen.get(name, 0)
-        if version < before:
-            self.reverts.append((name, before, version))
-        self.seen[name] = max(before, version)
+        version = stored["version"]
+        weight = stored["spec"]["weight"]
+        last_version = self.seen.get(name, 0)
+        if version < last_version:
+            self.reverts.append((name, last_version, version))
+        self.seen[name] = max(last_version, version)
         if self.weights.setdefault(version, weight) != weight:
             self.diverged.append((name, version, weight))
         return version
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/soak/run.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/soak/run.py
@@ -1,4 +1,4 @@
-"""Puts a soak together, runs it and reports."""
+"""Sets up a soak run, runs it and prints the results."""
 
 import collections
 import contextlib
@@ -33,7 +33,7 @@
 
 
 def run(seconds, seed):
-    """Run a soak and return its exit code: 0 where every promise held."""
+    """Run a soak; return exit code 0 if every invariant held, else 1."""
     console = rich.console.Console()
     rng = random.Random(seed)
     names = tuple(f"i{number + 1}" for number in range(INSTANCES))
@@ -46,25 +46,25 @@
         soak = _Soak(stack, deployment, cluster, rng)
         soak.prepare()
         soak.run(seconds)
-        findings = soak.findings()
-        _report(console, soak, findings, seed)
-    return 1 if any(item.cases for item in findings) else 0
+        results = soak.results()
+        _report(console, soak, results, seed)
+    return 1 if any(item.violations for item in results) else 0
 
 
 class _Soak:
-    """Everything that runs at the same time."""
+    """The concurrent parts of a soak run."""
 
     def __init__(self, stack, deployment, cluster, rng):
         self._stack = stack
         self._deployment = deployment
         self.cluster = cluster
-        self.runs = witness.new_runs()
+        self.run_counts = witness.new_run_counts()
         self.engines = []
         self.callers = callers_module.Callers(cluster, rng)
-        self.operators = operators_module.Operators(cluster, rng)
+        self.operators = operators_module.ConcurrentWriters(cluster, rng)
         self.watcher = operators_module.Watcher(cluster)
         self._start_engines()
-        self.faults = faults_module.Faults(cluster, self.engines, rng)
+        self.faults = faults_module.FaultInjector(cluster, self.engines, rng)
 
     def _spawn(self, function, *args):
         job = gevent.spawn(function, *args)
@@ -75,46 +75,50 @@
         addresses = self._deployment.addresses("backend_servers")
         for number in range(ENGINES):
             domain = DOMAINS[number % len(DOMAINS)]
-            made = witness.Witness(f"e{number}", domain, self.runs)
-            made.start()
-            self._stack.callback(made.stop)
-            self._spawn(made.announce, addresses)
-            self.engines.append(made)
+            started = witness.CountingEngine(
+                f"e{number}", domain, self.run_counts
+            )
+            started.start()
+            self._stack.callback(started.stop)
+            self._spawn(started.announce, addresses)
+            self.engines.append(started)
 
     def prepare(self):
-        """Declare the objects and wait until all have them."""
+        """Declare the objects and wait until all instances have them."""
         self._spawn(self.cluster.watch_ready)
         names = self.cluster.names
         demo.wait_until(lambda: len(self.cluster.ready) == len(names))
         server = api.Api(f"http://{self.cluster.operators(names[0])}")
         demo.wait_until(lambda: self._declared(server), SETTLE_SECONDS)
-        demo.wait_until(lambda: all(map(self._knows_all, names)))
+        demo.wait_until(lambda: all(map(self._is_in_sync, names)))
 
     def _declared(self, server):
-        hashed = engine.key_hash(callers_module.KEY)
+        hashed_key = engine.key_hash(callers_module.KEY)
         try:
             server.put("backendpools", "all", {})
             for name, spec in CLASSES.items():
                 server.put("requestclasses", name, spec)
-            caller = {
-                "keys": [hashed],
+            organisation = {
+                "keys": [hashed_key],
                 "classes": list(CLASSES),
                 "default_class": "lookup",
             }
-            server.put("organisations", "lab", caller)
-            server.put(operators_module.KIND, operators_module.NAME, {})
+            server.put("organisations", "lab", organisation)
+            server.put(
+                operators_module.OBJECT_KIND, operators_module.OBJECT_NAME, {}
+            )
         except api.ApiError:
             return False
         return True
 
-    def _knows_all(self, name):
+    def _is_in_sync(self, name):
         if not self.watcher.read(name):
             return False
         server = api.Api(f"http://{self.cluster.operators(name)}")
         return server.get("status")["serving_backend_servers"] == ENGINES
 
     def run(self, seconds):
-        """Let all run for ``seconds``, then let everything settle."""
+        """Run everything for ``seconds``, then wait for open requests."""
         jobs = self.callers.start(CALLERS)
         jobs += [
             self._spawn(self.operators.run, author)
@@ -122,57 +126,70 @@
         ]
         for name in self.cluster.names:
             self._spawn(self.watcher.run, name)
-        trouble = self._spawn(self.faults.run)
+        fault_job = self._spawn(self.faults.run)
         gevent.sleep(seconds)
         self.faults.stopping = True
-        trouble.join()
+        fault_job.join()
         self.callers.stopping = True
         self.operators.stopping = True
         gevent.joinall(jobs, timeout=SETTLE_SECONDS)
 
-    def findings(self):
-        """Return what held and what did not."""
-        found = verdict.judge(
-            self.callers.told,
-            self.runs,
+    def results(self):
+        """Return the result of each invariant."""
+        invariant_results = verdict.check_invariants(
+            self.callers.records,
+            self.run_counts,
             self.cluster,
             self.operators,
             self.watcher,
         )
         repairs = [item for item in self.faults.log if "failed" in item[0]]
-        found.append(verdict.Finding("a keeper can be replaced", repairs))
-        found.append(verdict.Finding("all agree in the end", self._apart()))
-        unanswered = [self.callers.under_way] if self.callers.under_way else []
-        found.append(verdict.Finding("every caller is answered", unanswered))
-        return found
-
-    def _apart(self):
-        """Return what each instance holds, where they still differ."""
-        held = {}
+        invariant_results.append(
+            verdict.InvariantResult("a keeper can be replaced", repairs)
+        )
+        invariant_results.append(
+            verdict.InvariantResult(
+                "all agree in the end", self._differing_versions()
+            )
+        )
+        unanswered = (
+            [self.callers.open_requests] if self.callers.open_requests else []
+        )
+        invariant_results.append(
+            verdict.InvariantResult("every caller is answered", unanswered)
+        )
+        return invariant_results
+
+    def _differing_versions(self):
+        """Return the versions at the instances, or [] once all are equal."""
+        versions = {}
         for _ in range(int(SETTLE_SECONDS)):
-            held = {
+            versions = {
                 name: self.watcher.read(name) for name in self.cluster.names
             }
-            if len(set(held.values())) == 1 and None not in held.values():
+            if (
+                len(set(versions.values())) == 1
+                and None not in versions.values()
+            ):
                 return []
             gevent.sleep(1.0)
-        return [held]
+        return [versions]
 
 
-def _report(console, soak, findings, seed):
+def _report(console, soak, results, seed):
     outcomes = collections.Counter(
         (
             item.class_name + (" keyed" if item.keyed else ""),
-            _outcome(item.answer),
+            _describe_outcome(item.answer),
         )
-        for item in soak.callers.told
+        for item in soak.callers.records
     )
     table = rich.table.Table(title=f"Soak, seed {seed}")
     for heading in ("what", "count"):
         table.add_column(heading)
     for (class_name, outcome), count in sorted(outcomes.items()):
         table.add_row(f"{class_name}: {outcome}", str(count))
-    for kind, count in sorted(soak.faults.counted.items()):
+    for kind, count in sorted(soak.faults.counts.items()):
         table.add_row(kind, str(count))
     operators = soak.operators
     table.add_row("writes accepted", str(len(operators.accepted)))
@@ -180,12 +197,14 @@
     table.add_row("writes unknown, resent", str(operators.unknown))
     table.add_row("writes refused, resent", str(operators.refused))
     console.print(table)
-    for item in findings:
-        verdict_text = f"BROKEN {item.cases[:8]}" if item.cases else "held"
-        console.print(f"{item.promise}: {verdict_text}", soft_wrap=True)
+    for item in results:
+        result_text = (
+            f"BROKEN {item.violations[:8]}" if item.violations else "held"
+        )
+        console.print(f"{item.invariant}: {result_text}", soft_wrap=True)
 
 
-def _outcome(answer):
+def _describe_outcome(answer):
     if answer.complete:
         return "complete"
     if answer.outcome:
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/soak/verdict.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/soak/verdict.py
@@ -1,4 +1,4 @@
-"""What a soak found: each promise with the cases that broke it."""
+"""Checks the invariants of a soak run and lists their violations."""
 
 import dataclasses
 
@@ -6,74 +6,96 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Finding:
-    """One promise and what broke it."""
+class InvariantResult:
+    """One invariant and its violations; it held if there are none."""
 
-    promise: str
-    cases: list
+    invariant: str
+    violations: list
 
 
-def judge(told, runs, cluster, operators, watcher):
-    """Return a finding for each promise; without cases it held."""
+def check_invariants(records, run_counts, cluster, operators, watcher):
+    """Return the result of each invariant."""
     return [
-        Finding("a complete answer is the request's own", _wrong(told)),
-        Finding(
-            "a non-repeatable request runs at most once", _doubled(told, runs)
+        InvariantResult(
+            "a complete answer is the request's own", _wrong_answers(records)
+        ),
+        InvariantResult(
+            "a non-repeatable request runs at most once",
+            _repeated_runs(records, run_counts),
+        ),
+        InvariantResult(
+            "not run is true", _false_refusals(records, run_counts)
+        ),
+        InvariantResult(
+            "a keyed request lands", _failed_keyed_requests(records)
+        ),
+        InvariantResult(
+            "a drain cuts off nothing", _broken_by_drain(records, cluster)
+        ),
+        InvariantResult(
+            "a drain exits with 0", [c for c in cluster.exit_codes if c]
+        ),
+        InvariantResult("a configuration never reverts", watcher.reverts),
+        InvariantResult("one version is one state", watcher.diverged),
+        InvariantResult(
+            "one winner for each version", _conflicting_writes(operators)
+        ),
+        InvariantResult(
+            "an accepted write stays", _lost_writes(operators, watcher)
         ),
-        Finding("not run is true", _false_not_run(told, runs)),
-        Finding("a keyed request lands", _lost(told)),
-        Finding("a drain cuts off nothing", _cut_by_drain(told, cluster)),
-        Finding("a drain exits with 0", [c for c in cluster.exit_codes if c]),
-        Finding("a configuration never reverts", watcher.reverts),
-        Finding("one version is one state", watcher.diverged),
-        Finding("one winner for each version", _two_winners(operators)),
-        Finding("an accepted write stays", _vanished(operators, watcher)),
     ]
 
 
-def _wrong(told):
+def _wrong_answers(records):
     return [
         item.number
-        for item in told
+        for item in records
         if item.answer.complete
         and item.answer.text != callers.expected_text(item.number)
     ]
 
 
-def _doubled(told, runs):
+def _repeated_runs(records, run_counts):
     return [
-        (item.number, runs[item.number])
-        for item in told
-        if item.class_name == "summary" and runs[item.number] > 1
+        (item.number, run_counts[item.number])
+        for item in records
+        if item.class_name == "summary" and run_counts[item.number] > 1
     ]
 
 
-def _false_not_run(told, runs):
-    """A refusal of a request that was sent once is about its only run."""
+def _false_refusals(records, run_counts):
+    """Return requests that ran although refused as "not run".
+
+    Only requests that were sent once count: with several sends, the refusal
+    may be about another send than the one that ran.
+    """
     return [
         item.number
-        for item in told
+        for item in records
         if item.sends == 1
         and item.answer.outcome == "not-run"
-        and runs[item.number]
+        and run_counts[item.number]
     ]
 
 
-def _lost(told):
+def _failed_keyed_requests(records):
     return [
         (item.number, item.answer.status, item.answer.error)
-        for item in told
+        for item in records
         if item.keyed
         and not item.answer.complete
         and item.answer.outcome != "unknown"
     ]
 
 
-def _cut_by_drain(told, cluster):
-    """Connections that broke at an instance that was only ever drained."""
+def _broken_by_drain(records, cluster):
+    """Return requests whose connection broke because of a drain.
+
+    That is, at an instance that was drained but never killed or frozen.
+    """
     return [
         (item.number, item.instances[-1], item.answer.error)
-        for item in told
+        for item in records
         if item.instances
         and item.answer.status in (0, 200)
         and not item.answer.complete
@@ -83,17 +105,19 @@
     ]
 
 
-def _two_winners(operators):
-    bases = {}
-    found = []
+def _conflicting_writes(operators):
+    weight_by_base_version = {}
+    conflicts = []
     for write in operators.accepted:
-        other = bases.setdefault(write.base, write.weight)
+        other = weight_by_base_version.setdefault(
+            write.base_version, write.weight
+        )
         if other != write.weight:
-            found.append((write.base, other, write.weight))
-    return found
+            conflicts.append((write.base_version, other, write.weight))
+    return conflicts
 
 
-def _vanished(operators, watcher):
+def _lost_writes(operators, watcher):
     return [
         (write.version, write.weight)
         for write in operators.accepted
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/soak/witness.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/soak/witness.py
@@ -1,4 +1,4 @@
-"""Stand-in engines that remember which numbered request they were given."""
+"""Simulated engines that count the requests they receive."""
 
 import collections
 import io
@@ -7,33 +7,34 @@
 from .. import batch
 from .. import engine
 
-TAG = re.compile(rb"#(\d+)#")
+REQUEST_NUMBER = re.compile(rb"#(\d+)#")
 SLOTS = 8
 
 
-class Witness(engine.Engine):
-    """An engine that counts how often each numbered request reached it."""
+class CountingEngine(engine.Engine):
+    """A simulated engine that counts how often each request reaches it."""
 
-    def __init__(self, name, failure_domain, runs):
+    def __init__(self, name, failure_domain, run_counts):
         pace = batch.Pace(step=0.01, step_per_stream=0.0005)
         super().__init__(name, failure_domain, ["small"], SLOTS, pace)
-        self.runs = runs
+        self.run_counts = run_counts
 
     def __call__(self, environ, start_response):
-        """Note the number in the body, then serve as any engine."""
+        """Count the request by the number in its body, then serve it."""
         if environ["REQUEST_METHOD"] == "POST":
             body = environ["wsgi.input"].read()
             environ["wsgi.input"] = io.BytesIO(body)
             environ["CONTENT_LENGTH"] = str(len(body))
-            found = TAG.search(body)
-            if found:
-                self.runs[int(found[1])] += 1
+            match = REQUEST_NUMBER.search(body)
+            if match:
+                self.run_counts[int(match[1])] += 1
         return super().__call__(environ, start_response)
 
     def restart(self):
-        """Crash and come back at once, with nothing in memory.
+        """Simulate a crash and an immediate restart with empty memory.
 
-        The port stays, so that old connections and new ones meet.
+        The port stays the same, so that connections from before the crash
+        coincide with new ones.
         """
         port = self._server.server_port
         self.stop()
@@ -42,6 +43,6 @@
         self.start(port)
 
 
-def new_runs():
-    """Return an empty count of runs by request number."""
+def new_run_counts():
+    """Return an empty counter of runs by request number."""
     return collections.Counter()
