--- a/bench/prefix_index.py
+++ b/bench/prefix_index.py
@@ -55,9 +55,9 @@
         """Run one request and return the prompt tokens saved."""
         self.recent.append(name)
         cache = self.caches[name]
-        saved = cache.use(prefix, TOKENS)
+        saved = cache.access(prefix, TOKENS)
         if len(cache.events) >= BATCH:
-            first, found = cache.take_batch()
+            first, found = cache.drain_events()
             if self._rng.random() >= self._loss:
                 self._late.append((name, first, found))
         return saved
@@ -108,7 +108,9 @@
     """Pick an engine that has the prefix: what perfect events would give."""
     free = fleet.free()
     rng.shuffle(free)
-    return max(free, key=lambda name: prefix in fleet.caches[name]._held)
+    return max(
+        free, key=lambda name: prefix in fleet.caches[name]._tokens_by_prefix
+    )
 
 
 def lookup_cost():
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/batch.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/batch.py
@@ -1,8 +1,9 @@
-"""The continuous batch of a stand-in engine.
+"""Continuous batching of a simulated engine.
 
-Every step yields one token for each running stream.  A step takes longer
-with more streams in it, and a prompt costs time before its first token:
-the two properties of a real engine that decisions have to live with.
+Each step generates one token for every running stream.  A step takes longer
+the more streams run, and each prompt costs prefill time before its first
+token.  These are the two properties of real engines that matter for
+scheduling decisions.
 """
 
 import collections
@@ -14,9 +15,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Pace:
-    """How fast an engine is, in seconds.
+    """Durations that define an engine's speed, in seconds.
 
-    ``prefill`` is for each thousand prompt tokens.
+    ``prefill`` is the time for 1,000 prompt tokens.
     """
 
     step: float = 0.01
@@ -25,42 +26,43 @@
 
 
 class Stream:
-    """One request in an engine: all its tokens so far, kept for resuming.
+    """One request in an engine, with the tokens generated so far.
 
-    It starts at token ``start`` where it continues another engine's text.
-    ``mark`` is in every token of a stream that is sampled, so that no two
-    runs of it are alike.
+    The tokens are kept so that a client can resume the stream.  ``start`` is
+    the number of the first token, above 0 if the request continues another
+    engine's text.  ``token_prefix`` starts every token of a sampled stream,
+    so that no two runs produce the same text.
     """
 
-    def __init__(self, request_id, priority, prompt_tokens, wanted):
+    def __init__(self, request_id, priority, prompt_tokens, requested_tokens):
         self.request_id = request_id
         self.priority = priority
         self.prompt_tokens = prompt_tokens
-        self.wanted = wanted
+        self.requested_tokens = requested_tokens
         self.start = 0
-        self.mark = ""
+        self.token_prefix = ""
         self.tokens = []
         self.finished = False
         self.cancelled = False
         self._readers = []
 
     def add(self, token):
-        """Append one token and wake the readers."""
+        """Append one token and notify the readers."""
         self.tokens.append(token)
-        self.finished = len(self.tokens) >= self.wanted
+        self.finished = len(self.tokens) >= self.requested_tokens
         self._wake()
 
     def next_token(self):
-        """Return the token that comes next."""
-        return f"{self.mark}w{self.start + len(self.tokens)} "
+        """Return the next token."""
+        return f"{self.token_prefix}w{self.start + len(self.tokens)} "
 
     def cancel(self):
-        """Stop; a reader sees the stream break off."""
+        """Cancel the stream; its readers see it end unfinished."""
         self.cancelled = True
         self._wake()
 
-    def watched(self):
-        """Tell whether anyone reads the stream."""
+    def has_readers(self):
+        """Return whether any client is reading the stream."""
         return bool(self._readers)
 
     def _wake(self):
@@ -68,7 +70,7 @@
             reader.put(True)
 
     def read(self, start=0):
-        """Yield the tokens from number ``start`` on as they come."""
+        """Yield the tokens from index ``start`` on as they are generated."""
         reader = queue.SimpleQueue()
         self._readers.append(reader)
         position = start
@@ -85,7 +87,7 @@
 
 
 class Batch:
-    """Runs at most ``slots`` streams at once, by priority."""
+    """Runs up to ``slots`` streams concurrently, in order of priority."""
 
     def __init__(self, slots, pace):
         self.slots = slots
@@ -96,13 +98,13 @@
         self.begun = 0
 
     def submit(self, stream):
-        """Queue a stream."""
+        """Add a stream to the queue."""
         self.streams[stream.request_id] = stream
         self.waiting.append(stream)
-        self.waiting.sort(key=_priority)
+        self.waiting.sort(key=_priority_of)
 
     def cancel(self, request_id):
-        """Stop a stream; tell whether it was known."""
+        """Cancel a stream; return whether the request id was known."""
         stream = self.streams.get(request_id)
         if stream is None:
             return False
@@ -110,7 +112,7 @@
         return True
 
     def run(self):
-        """Step for ever."""
+        """Run the batch loop forever."""
         while True:
             prefill = self._admit()
             count = len(self.running)
@@ -140,5 +142,5 @@
         ]
 
 
-def _priority(stream):
+def _priority_of(stream):
     return stream.priority
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/client.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/client.py
@@ -1,13 +1,13 @@
-"""A caller: sends one request and checks that the answer is whole."""
+"""A caller that sends one request and checks that the answer is complete."""
 
 import time
 
 import geventhttpclient
 import msgspec
 
-NETWORK_SECONDS = 120.0
-DONE = b"data: [DONE]"
-FAILURES = (
+NETWORK_TIMEOUT_SECONDS = 120.0
+DONE_EVENT = b"data: [DONE]"
+CONNECTION_ERRORS = (
     OSError,
     geventhttpclient.response.HTTPParseError,
     msgspec.DecodeError,
@@ -15,7 +15,10 @@
 
 
 class Ask(msgspec.Struct):
-    """What to send, and to which instance (``IP:port``)."""
+    """A generation request, and the instance to send it to.
+
+    ``address`` is ``IP:port``; ``timeout`` is in seconds, 0 for none.
+    """
 
     address: str
     key: str
@@ -29,9 +32,11 @@
 
 
 class Answer(msgspec.Struct):
-    """What came back; ``first_s`` and ``total_s`` in seconds.
+    """The response to a request.
 
-    ``complete`` is what a careful caller concludes from the bytes alone.
+    ``first_s`` is the time to the first event and ``total_s`` the total
+    time, both in seconds.  ``complete`` is set only if the response itself
+    proves that it is complete.
     """
 
     status: int
@@ -48,45 +53,49 @@
 
 
 class Delta(msgspec.Struct):
-    """The new text of one event."""
+    """The text of a message, or the text that one event adds to it."""
 
     content: str = ""
 
 
 class Choice(msgspec.Struct):
-    """One alternative of an event or of a whole answer."""
+    """One choice in an event or in a complete answer."""
 
     delta: Delta = msgspec.field(default_factory=Delta)
     message: Delta = msgspec.field(default_factory=Delta)
 
 
 class ErrorView(msgspec.Struct):
-    """The error of an answer."""
+    """The error object of a response."""
 
     code: str = ""
     outcome: str = ""
 
 
 class Body(msgspec.Struct):
-    """An event of a stream, or a whole answer, or an error."""
+    """The body of a stream event, a complete answer or an error."""
 
     choices: list[Choice] = []
     error: ErrorView | None = None
 
 
 def send(ask):
-    """Send one request and return the answer as its caller sees it."""
+    """Send one request and return the answer.
+
+    A connection error or an invalid response is returned as an answer with
+    status 0.
+    """
     host, port = ask.address.rsplit(":", 1)
     client = geventhttpclient.HTTPClient(
-        host, int(port), network_timeout=NETWORK_SECONDS
+        host, int(port), network_timeout=NETWORK_TIMEOUT_SECONDS
     )
     started = time.monotonic()
     try:
         response = client.post(
             "/v1/chat/completions", body_of(ask), headers_of(ask)
         )
-        answer = _read(response, ask.stream, started)
-    except FAILURES as exc:
+        answer = _read_answer(response, ask.stream, started)
+    except CONNECTION_ERRORS as exc:
         answer = Answer(0, error=f"{type(exc).__name__}: {exc}")
     finally:
         client.close()
@@ -95,7 +104,7 @@
 
 
 def body_of(ask):
-    """Return the body of a request."""
+    """Return the HTTP body of a request."""
     return msgspec.json.encode(
         {
             "model": ask.model,
@@ -107,7 +116,7 @@
 
 
 def headers_of(ask):
-    """Return the headers of a request."""
+    """Return the HTTP headers of a request."""
     headers = {
         "Authorization": f"Bearer {ask.key}",
         "X-Request-Class": ask.class_name,
@@ -120,7 +129,7 @@
     return headers
 
 
-def _read(response, streamed, started):
+def _read_answer(response, streamed, started):
     answer = Answer(
         response.status_code,
         outcome=response.get("X-Outcome") or "",
@@ -151,7 +160,7 @@
             answer.first_s = time.monotonic() - started
         if not line:
             break
-        if line.startswith(DONE):
+        if line.startswith(DONE_EVENT):
             answer.complete = True
             break
         body = msgspec.json.decode(line[len(b"data:") :], type=Body)
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/demo.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/demo.py
@@ -1,4 +1,4 @@
-"""``make demo``: the whole path on one machine."""
+"""``make demo``: instances, engines and requests on one host."""
 
 import contextlib
 import time
@@ -14,10 +14,10 @@
 from . import engine
 from . import processes
 
-NAMES = ("i1", "i2", "i3")
+INSTANCE_NAMES = ("i1", "i2", "i3")
 DOMAINS = ("fd1", "fd2", "fd3")
-KEYS = {"transformer-lab": "demo-key-1", "reports": "demo-key-2"}
-ANSWERS = 8
+API_KEYS = {"transformer-lab": "demo-key-1", "reports": "demo-key-2"}
+REQUEST_COUNT = 8
 
 POOLS = {"models": {"select": {"kind": "model_engine"}}}
 CLASSES = {
@@ -38,27 +38,32 @@
 
 
 def organisations():
-    """Return the two sample organisations."""
+    """Return the specs of the two sample organisations, by name."""
     return {
         name: {
             "keys": [engine.key_hash(key)],
             "classes": list(CLASSES),
             "default_class": "lookup",
         }
-        for name, key in KEYS.items()
+        for name, key in API_KEYS.items()
     }
 
 
 def run():
-    """Start all, show all, stop all; return the exit code."""
+    """Start everything, send requests, show the status and stop.
+
+    Returns the exit code.
+    """
     console = rich.console.Console()
     with contextlib.ExitStack() as stack:
-        deployment = stack.enter_context(processes.Deployment(NAMES, DOMAINS))
+        deployment = stack.enter_context(
+            processes.Deployment(INSTANCE_NAMES, DOMAINS)
+        )
         _start_engines(stack, deployment)
-        _apply(deployment)
+        _declare_objects(deployment)
         console.print("3 instances in 3 failure domains are up.")
-        _send(console, deployment)
-        _show(console, deployment)
+        _send_requests(console, deployment)
+        _show_status(console, deployment)
     console.print(f"Exit codes: {deployment.exit_codes}")
     return 0 if not any(deployment.exit_codes) else 1
 
@@ -66,16 +71,16 @@
 def _start_engines(stack, deployment):
     addresses = deployment.addresses("backend_servers")
     for index, domain in enumerate(DOMAINS):
-        served = engine.Engine(
+        started = engine.Engine(
             f"e{index + 1}", domain, ["small"], 8, batch.Pace()
         )
-        served.start()
-        stack.callback(served.stop)
-        announcer = gevent.spawn(served.announce, addresses)
+        started.start()
+        stack.callback(started.stop)
+        announcer = gevent.spawn(started.announce, addresses)
         stack.callback(announcer.kill)
 
 
-def _apply(deployment):
+def _declare_objects(deployment):
     servers = [
         api.Api(f"http://{address}")
         for address in deployment.addresses("operators")
@@ -87,35 +92,38 @@
     ):
         for name, spec in objects.items():
             servers[0].put(kind, name, spec)
-    wait_until(lambda: all(_has_all(item) for item in servers))
+    wait_until(lambda: all(_is_in_sync(item) for item in servers))
 
 
-def _has_all(server):
+def _is_in_sync(server):
     status = server.get("status")
     listed = server.get("organisations")["items"]
-    return len(listed) == len(KEYS) and (
+    return len(listed) == len(API_KEYS) and (
         status["serving_backend_servers"] == len(DOMAINS)
     )
 
 
-def wait_until(holds, seconds=20.0):
-    """Wait until ``holds()`` is true."""
+def wait_until(condition, seconds=20.0):
+    """Wait until ``condition()`` is true.
+
+    Raises :class:`RuntimeError` after ``seconds``.
+    """
     deadline = time.monotonic() + seconds
-    while not holds():
+    while not condition():
         if time.monotonic() > deadline:
-            raise RuntimeError("the demo did not come up in time")
+            raise RuntimeError("the condition was not met in time")
         gevent.sleep(0.1)
 
 
-def _send(console, deployment):
+def _send_requests(console, deployment):
     callers = deployment.addresses("callers")
     jobs = []
-    for number in range(ANSWERS):
-        organisation = list(KEYS)[number % 2]
+    for number in range(REQUEST_COUNT):
+        organisation = list(API_KEYS)[number % 2]
         class_name = list(CLASSES)[number // 2 % 2]
         ask = client.Ask(
             callers[number % len(callers)],
-            KEYS[organisation],
+            API_KEYS[organisation],
             class_name,
             f"sample {number}",
             stream=number % 3 != 0,
@@ -129,7 +137,7 @@
         )
 
 
-def _show(console, deployment):
+def _show_status(console, deployment):
     servers = [
         api.Api(f"http://{address}")
         for address in deployment.addresses("operators")
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/engine.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/engine.py
@@ -1,4 +1,4 @@
-"""A stand-in model engine, over HTTP, as the contract has engines."""
+"""A simulated model engine that serves the engines' HTTP interface."""
 
 import hashlib
 import random
@@ -15,14 +15,15 @@
 from . import faults
 from . import loading
 
-ANNOUNCE_SECONDS = 1.0
-ANNOUNCE_TIMEOUT = 1.0
-JSON = ("Content-Type", "application/json")
+ANNOUNCE_INTERVAL_SECONDS = 1.0
+ANNOUNCE_TIMEOUT_SECONDS = 1.0
+JSON_HEADER = ("Content-Type", "application/json")
 BYTES_PER_TOKEN = 4
-DEFAULT_TOKENS = 16
-EVENT_STREAM = ("Content-Type", "text/event-stream")
-# A closed connection cancels, unless the stream is resumed by then.
-ORPHAN_SECONDS = 0.5
+DEFAULT_MAX_TOKENS = 16
+EVENT_STREAM_HEADER = ("Content-Type", "text/event-stream")
+# A stream whose connection closed is cancelled unless it is resumed within
+# this time.
+RESUME_WINDOW_SECONDS = 0.5
 
 
 class Message(msgspec.Struct):
@@ -33,22 +34,23 @@
 
 
 class Ask(msgspec.Struct):
-    """The fields of a generation request that the stand-in reads."""
+    """The fields of a generation request that the simulated engine reads."""
 
     model: str
     stream: bool = False
     priority: int = 1
-    max_tokens: int = DEFAULT_TOKENS
+    max_tokens: int = DEFAULT_MAX_TOKENS
     messages: list[Message] = []
     continue_final_message: bool = False
 
 
-class PromptServer(pywsgi.WSGIServer):
-    """Sends each event when it is there, as engines do.
+class NoDelayServer(pywsgi.WSGIServer):
+    """A WSGI server that sends each event immediately, as engines do.
 
-    Without ``TCP_NODELAY`` the first event of an answer waits until its
-    head is acknowledged, 40 ms later on a kept connection, and every
-    measured first token is late by that.
+    Without ``TCP_NODELAY`` the first event of a response is held back until
+    the client acknowledges the response headers.  On a kept-alive connection
+    that takes 40 ms, which would be added to every measured time to first
+    token.
     """
 
     def handle(self, sock, address):
@@ -58,7 +60,7 @@
 
 
 class Engine:
-    """Batches, streams, honours priority, cancels and resumes."""
+    """A simulated engine: batches, prioritises, cancels, resumes streams."""
 
     def __init__(self, name, failure_domain, models, slots, pace, desk=None):
         self.name = name
@@ -68,23 +70,23 @@
         self.leaving = False
         self.epoch = 1
         self.ran = []
-        # Whether two runs of a request give different texts.
+        # Whether repeated runs of a request produce different texts.
         self.sampled = False
         self.resumes = True
         self.faults = None
-        # What it announces as its URL, where something stands before it.
+        # The URL to announce if a proxy stands in front of the engine.
         self.announced_url = ""
         self._server = None
-        self._stepper = None
+        self._batch_greenlet = None
 
     @property
     def url(self):
-        """Where it is reached."""
+        """The URL of the engine itself."""
         return f"http://127.0.0.1:{self._server.server_port}"
 
     def start(self, port=0):
-        """Listen and start to step."""
-        self._server = PromptServer(
+        """Start the HTTP server and the batch loop."""
+        self._server = NoDelayServer(
             ("127.0.0.1", port),
             self,
             spawn=pool.Pool(),
@@ -92,34 +94,36 @@
             error_log=None,
         )
         self._server.start()
-        self._stepper = gevent.spawn(self.batch.run)
+        self._batch_greenlet = gevent.spawn(self.batch.run)
 
     def stop(self):
-        """Stop at once, as a crash would."""
-        self._stepper.kill()
+        """Stop immediately, as a crash would."""
+        self._batch_greenlet.kill()
         self._server.stop(0)
 
     def __call__(self, environ, start_response):
-        """Serve one request."""
+        """Handle one HTTP request."""
         method = environ["REQUEST_METHOD"]
         path = environ["PATH_INFO"]
         if path in ("/health", "/load"):
-            return _json(start_response, "200 OK", self._load())
+            return _json_response(
+                start_response, "200 OK", self._load_report()
+            )
         if path == "/v1/orders":
             status, answer = self.desk.take(environ["wsgi.input"].read())
-            return _json(start_response, status, answer)
-        found = re.fullmatch(r"/v1/streams/([^/]+)", path)
-        if found and method == "DELETE":
-            known = self.batch.cancel(found[1])
-            status = "200 OK" if known else "404 Not Found"
-            return _json(start_response, status, {})
-        if found:
-            return self._resume(environ, start_response, found[1])
+            return _json_response(start_response, status, answer)
+        match = re.fullmatch(r"/v1/streams/([^/]+)", path)
+        if match and method == "DELETE":
+            was_known = self.batch.cancel(match[1])
+            status = "200 OK" if was_known else "404 Not Found"
+            return _json_response(start_response, status, {})
+        if match:
+            return self._resume(environ, start_response, match[1])
         if path in ("/v1/chat/completions", "/v1/completions"):
             return self._generate(environ, start_response)
-        return _json(start_response, "404 Not Found", {})
+        return _json_response(start_response, "404 Not Found", {})
 
-    def _load(self):
+    def _load_report(self):
         return {
             "running": len(self.batch.running),
             "waiting": len(self.batch.waiting),
@@ -136,63 +140,73 @@
             request_id, ask.priority, prompt_tokens, ask.max_tokens
         )
         if self.sampled:
-            stream.mark = f"{self.name}-{len(self.ran)}-"
+            stream.token_prefix = f"{self.name}-{len(self.ran)}-"
         if ask.continue_final_message:
             stream.start = len(ask.messages[-1].content.split())
         fault = self.faults.draw() if self.faults else faults.Fault.NONE
         if fault is faults.Fault.REFUSE:
-            return _refuse(start_response)
+            return _refusal_response(start_response)
         if fault is faults.Fault.CLOSE:
-            raise faults.reset()
+            raise faults.connection_reset()
         self.begin(stream, ask)
         if fault is faults.Fault.ERROR:
-            return _json(start_response, "500 Internal Server Error", {})
+            return _json_response(
+                start_response, "500 Internal Server Error", {}
+            )
         return self._answer(start_response, stream, ask, fault)
 
     def begin(self, stream, ask):
-        """Start to run a request."""
+        """Queue a request for execution."""
         self.ran.append(stream.request_id)
         self.batch.submit(stream)
 
     def _answer(self, start_response, stream, ask, fault):
-        breaks = fault in (faults.Fault.BREAK, faults.Fault.CRASH)
+        breaks_connection = fault in (faults.Fault.BREAK, faults.Fault.CRASH)
         if ask.stream:
-            events = self._events(start_response, stream, 0)
-            return self._broken(events, stream, fault) if breaks else events
+            events = self._start_stream(start_response, stream, 0)
+            return (
+                self._events_until_break(events, stream, fault)
+                if breaks_connection
+                else events
+            )
         text = "".join(stream.read())
-        if breaks:
-            self._break(stream, fault)
+        if breaks_connection:
+            self._break_connection(stream, fault)
         if not stream.finished:
-            return _json(start_response, "500 Internal Server Error", {})
-        return _json(start_response, "200 OK", _whole(stream, ask, text))
+            return _json_response(
+                start_response, "500 Internal Server Error", {}
+            )
+        return _json_response(
+            start_response, "200 OK", _completion_body(stream, ask, text)
+        )
 
-    def _broken(self, events, stream, fault):
-        """Pass events on until the connection breaks."""
-        position = self.faults.position(stream.wanted)
+    def _events_until_break(self, events, stream, fault):
+        """Yield events up to a random position, then break the connection."""
+        position = self.faults.position(stream.requested_tokens)
         for event in events:
             if not position:
                 events.close()
-                self._break(stream, fault)
+                self._break_connection(stream, fault)
             position -= 1
             yield event
 
-    def _break(self, stream, fault):
+    def _break_connection(self, stream, fault):
         if fault is faults.Fault.CRASH:
             stream.cancel()
             self.batch.streams.pop(stream.request_id, None)
-        raise faults.reset()
+        raise faults.connection_reset()
 
     def _resume(self, environ, start_response, request_id):
         stream = self.batch.streams.get(request_id)
         if stream is None or not self.resumes:
-            return _json(start_response, "404 Not Found", {})
-        found = re.search(r"from=(\d+)", environ.get("QUERY_STRING", ""))
-        start = int(found[1]) if found else 0
-        return self._events(start_response, stream, start)
-
-    def _events(self, start_response, stream, start):
-        write = start_response("200 OK", [EVENT_STREAM])
-        # The headers go out at once, as engines send them.
+            return _json_response(start_response, "404 Not Found", {})
+        match = re.search(r"from=(\d+)", environ.get("QUERY_STRING", ""))
+        start = int(match[1]) if match else 0
+        return self._start_stream(start_response, stream, start)
+
+    def _start_stream(self, start_response, stream, start):
+        write = start_response("200 OK", [EVENT_STREAM_HEADER])
+        # An empty write sends the headers immediately, as engines do.
         write(b"")
         return self._event_bytes(stream, start)
 
@@ -205,10 +219,12 @@
                 yield b"data: [DONE]\n\n"
         finally:
             if not stream.finished:
-                gevent.spawn_later(ORPHAN_SECONDS, _cancel_orphan, stream)
+                gevent.spawn_later(
+                    RESUME_WINDOW_SECONDS, _cancel_unless_resumed, stream
+                )
 
     def announcement(self, sequence):
-        """Return what the engine says of itself."""
+        """Return the engine's announcement with this sequence number."""
         return {
             "backend_server": self.name,
             "epoch": self.epoch,
@@ -221,13 +237,13 @@
             "checks_fencing": self.desk.checks_fencing,
             "slots": self.batch.slots,
             "kv_tokens": 100_000,
-            "load": self._load(),
+            "load": self._load_report(),
             "leaving": self.leaving,
             "lease": 3,
         }
 
     def announce(self, addresses, token=""):
-        """Announce for ever, to one address after the other."""
+        """Announce forever, to each address in turn."""
         sequence = 0
         headers = {"Content-Type": "application/json"}
         if token:
@@ -237,13 +253,13 @@
             sequence += 1
             body = msgspec.json.encode(self.announcement(sequence))
             post_announcement(address, body, headers)
-            gevent.sleep(ANNOUNCE_SECONDS)
+            gevent.sleep(ANNOUNCE_INTERVAL_SECONDS)
 
 
-def _refuse(start_response):
+def _refusal_response(start_response):
     body = b"{}"
     headers = [
-        JSON,
+        JSON_HEADER,
         ("X-Outcome", "not-run"),
         ("Content-Length", str(len(body))),
     ]
@@ -251,17 +267,17 @@
     return [body]
 
 
-def _cancel_orphan(stream):
-    """Stop a stream whose reader left, unless another one came."""
-    if not stream.watched():
+def _cancel_unless_resumed(stream):
+    """Cancel a stream unless a client has resumed reading it."""
+    if not stream.has_readers():
         stream.cancel()
 
 
 def post_announcement(address, body, headers):
-    """Send one announcement; best effort, since the next one follows."""
+    """Send one announcement and ignore errors, since another one follows."""
     host, port = address.rsplit(":", 1)
     client = geventhttpclient.HTTPClient(
-        host, int(port), network_timeout=ANNOUNCE_TIMEOUT
+        host, int(port), network_timeout=ANNOUNCE_TIMEOUT_SECONDS
     )
     try:
         client.post("/v1/announcements", body, headers).read()
@@ -271,7 +287,7 @@
         client.close()
 
 
-def _whole(stream, ask, text):
+def _completion_body(stream, ask, text):
     return {
         "id": stream.request_id,
         "object": "chat.completion",
@@ -290,12 +306,12 @@
     }
 
 
-def _json(start_response, status, value):
+def _json_response(start_response, status, value):
     body = msgspec.json.encode(value)
-    start_response(status, [JSON, ("Content-Length", str(len(body)))])
+    start_response(status, [JSON_HEADER, ("Content-Length", str(len(body)))])
     return [body]
 
 
 def key_hash(key):
-    """Return a caller's key in the form that organisations list."""
+    """Return the hash of an API key as organisations list it."""
     return "sha256:" + hashlib.sha256(key.encode()).hexdigest()
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/faults.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a stand-in engine makes on purpose."""
+"""Faults that a simulated engine injects on purpose."""
 
 import enum
 import errno
@@ -6,7 +6,7 @@
 
 
 class Fault(enum.Enum):
-    """What goes wrong with one request."""
+    """The fault injected into one request."""
 
     NONE = "none"
     REFUSE = "refuse"
@@ -16,7 +16,7 @@
     ERROR = "error"
 
 
-MEANINGS = {
+FAULT_DESCRIPTIONS = {
     Fault.REFUSE: "503 not-run, before it begins",
     Fault.CLOSE: "the connection closes, before it begins",
     Fault.BREAK: "the connection breaks in the answer; the stream lives on",
@@ -26,23 +26,23 @@
 
 
 class Faults:
-    """Draws a fault for one request in so many; seeded."""
+    """Draws a random fault for a share ``rate`` of the requests."""
 
     def __init__(self, seed, rate):
         self._rng = random.Random(seed)
         self._rate = rate
 
     def draw(self):
-        """Return the fault of the next request."""
+        """Return the fault for the next request."""
         if self._rng.random() >= self._rate:
             return Fault.NONE
-        return self._rng.choice(list(MEANINGS))
+        return self._rng.choice(list(FAULT_DESCRIPTIONS))
 
-    def position(self, wanted):
-        """Return after how many tokens an answer breaks."""
-        return self._rng.randrange(wanted + 1)
+    def position(self, requested_tokens):
+        """Return the number of tokens after which an answer breaks off."""
+        return self._rng.randrange(requested_tokens + 1)
 
 
-def reset():
-    """Return the error that has the HTTP server close a connection."""
+def connection_reset():
+    """Return the error on which the HTTP server closes the connection."""
     return ConnectionResetError(errno.ECONNRESET, "on purpose")
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/load.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/load.py
@@ -1,8 +1,7 @@
-"""A load generator: many callers in one gevent loop.
+"""An open-loop load generator: many callers in one gevent loop.
 
-Requests start at a steady pace whatever becomes of those before them (an
-open loop), so that a slow system cannot lower the load that it is measured
-under.
+Requests start at a constant rate regardless of earlier responses, so that a
+slow system does not reduce the load that it is measured under.
 """
 
 import dataclasses
@@ -13,12 +12,12 @@
 
 from . import client
 
-CONNECTIONS = 1024
+MAX_CONNECTIONS = 1024
 
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """What came of a load; times in seconds."""
+    """The measurements of one load run; times in seconds."""
 
     sent: int = 0
     complete: int = 0
@@ -30,10 +29,10 @@
 
 
 class Load:
-    """Sends one kind of request to one address again and again.
+    """Sends the same request to one address repeatedly.
 
-    ``ask`` is a :class:`.client.Ask`.  Connections are kept open, as those
-    of applications are.
+    ``ask`` is a :class:`.client.Ask`.  Connections are kept alive and
+    reused, as applications do.
     """
 
     def __init__(self, ask):
@@ -41,52 +40,52 @@
         self._client = geventhttpclient.HTTPClient(
             host,
             int(port),
-            concurrency=CONNECTIONS,
-            network_timeout=client.NETWORK_SECONDS,
+            concurrency=MAX_CONNECTIONS,
+            network_timeout=client.NETWORK_TIMEOUT_SECONDS,
         )
         self._body = client.body_of(ask)
         self._headers = client.headers_of(ask)
         self.result = Result()
 
     def run(self, per_second, seconds):
-        """Send at a steady pace, wait for all answers, return the result."""
-        began = time.monotonic()
-        jobs = []
+        """Send at a constant rate, wait for all answers, return the result."""
+        started_at = time.monotonic()
+        greenlets = []
         for number in range(round(per_second * seconds)):
-            due = began + number / per_second
-            gevent.sleep(max(0.0, due - time.monotonic()))
-            jobs.append(gevent.spawn(self._send_one))
-        gevent.joinall(jobs)
-        self.result.seconds = time.monotonic() - began
+            scheduled_at = started_at + number / per_second
+            gevent.sleep(max(0.0, scheduled_at - time.monotonic()))
+            greenlets.append(gevent.spawn(self._send_one))
+        gevent.joinall(greenlets)
+        self.result.seconds = time.monotonic() - started_at
         self._client.close()
         return self.result
 
     def _send_one(self):
-        began = time.monotonic()
+        started_at = time.monotonic()
         result = self.result
         result.sent += 1
         try:
             response = self._client.post(
                 "/v1/chat/completions", self._body, self._headers
             )
-            self._read(response, began)
+            self._read(response, started_at)
         except (OSError, geventhttpclient.response.HTTPParseError):
             return
 
-    def _read(self, response, began):
+    def _read(self, response, started_at):
         result = self.result
         first = True
         while True:
-            part = response.readline(b"\n\n")
+            event = response.readline(b"\n\n")
             if first:
-                result.first_s.append(time.monotonic() - began)
+                result.first_s.append(time.monotonic() - started_at)
                 first = False
-            if not part:
+            if not event:
                 return
-            result.bytes += len(part)
-            if part.startswith(client.DONE):
+            result.bytes += len(event)
+            if event.startswith(client.DONE_EVENT):
                 break
             result.events += 1
         response.read()
         result.complete += 1
-        result.total_s.append(time.monotonic() - began)
+        result.total_s.append(time.monotonic() - started_at)
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/loading.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/loading.py
@@ -1,9 +1,9 @@
-"""How a stand-in engine takes orders: loads, roles, fencing, caches.
+"""Model loading, role orders and prefix caches of a simulated engine.
 
-One kind refuses an order with an old fencing number, the other obeys
-whoever asks, as the brief says of real deployments.  What was obeyed is
-kept with the time and the number, so that a test can tell whether the
-orders of two holders interleaved.
+Some engines reject an order with an outdated fencing token, others execute
+every order, as in real deployments.  Executed orders are recorded with their
+time and fencing token, so that a test can detect that the orders of two
+lease holders interleaved.
 """
 
 import collections
@@ -17,7 +17,10 @@
 
 
 class OrderBody(msgspec.Struct):
-    """An order, as the contract has it."""
+    """The body of an order to an engine.
+
+    ``fencing`` is the fencing token of the lease holder that sent it.
+    """
 
     order: str
     kind: str
@@ -29,34 +32,42 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Obeyed:
-    """An order that was obeyed, at ``at`` on the monotonic clock."""
+class ExecutedOrder:
+    """An order that was executed at ``at`` on the monotonic clock."""
 
     at: float
     body: OrderBody
 
 
 class WeightStore:
-    """The rate-limited store; ``most`` is the largest number at a time."""
+    """A rate-limited store of model weights.
+
+    ``active`` is the number of concurrent downloads, ``max_active`` its
+    maximum so far.
+    """
 
     def __init__(self):
         self.downloads = 0
-        self.now = 0
-        self.most = 0
+        self.active = 0
+        self.max_active = 0
 
     def fetch(self, seconds):
-        """Take as long as one download alone, times those at a time."""
+        """Download weights, which takes ``seconds`` if no other download runs.
+
+        The duration is multiplied by the number of downloads active at its
+        start.
+        """
         self.downloads += 1
-        self.now += 1
-        self.most = max(self.most, self.now)
+        self.active += 1
+        self.max_active = max(self.max_active, self.active)
         try:
-            gevent.sleep(seconds * self.now)
+            gevent.sleep(seconds * self.active)
         finally:
-            self.now -= 1
+            self.active -= 1
 
 
 class OrderDesk:
-    """The models and the role of one engine, changed by orders."""
+    """Executes orders that change the models and the role of one engine."""
 
     def __init__(self, models, checks_fencing=True, store=None):
         self.models = [{"name": name, "version": "1"} for name in models]
@@ -66,17 +77,21 @@
         self.obeyed = []
         self.refused = 0
         self._store = store or WeightStore()
-        self._highest = 0
-        self._seen = set()
+        self._highest_fencing = 0
+        self._loading = set()
 
     def take(self, raw):
-        """Take one order; return the HTTP status and the answer."""
+        """Handle one order; return the HTTP status and the response.
+
+        An order with an outdated fencing token is rejected with status 409
+        if the engine checks fencing.
+        """
         body = msgspec.json.decode(raw, type=OrderBody)
-        if self.checks_fencing and body.fencing < self._highest:
+        if self.checks_fencing and body.fencing < self._highest_fencing:
             self.refused += 1
             return "409 Conflict", {"error": {"code": "stale_fencing"}}
-        self._highest = max(self._highest, body.fencing)
-        self.obeyed.append(Obeyed(time.monotonic(), body))
+        self._highest_fencing = max(self._highest_fencing, body.fencing)
+        self.obeyed.append(ExecutedOrder(time.monotonic(), body))
         if body.kind == "load":
             gevent.spawn(self._load, body)
         elif body.kind == "unload":
@@ -87,19 +102,19 @@
 
     def _load(self, body):
         key = (body.model, body.version, body.adapter)
-        if key in self._seen:
+        if key in self._loading:
             return
-        self._seen.add(key)
+        self._loading.add(key)
         try:
             self._store.fetch(self.load_seconds)
         finally:
-            self._seen.discard(key)
+            self._loading.discard(key)
         self._add(body)
 
     def _add(self, body):
         for item in self.models:
-            same = item["name"] == body.model
-            if same and item["version"] == body.version:
+            same_model = item["name"] == body.model
+            if same_model and item["version"] == body.version:
                 self._add_adapter(item, body.adapter)
                 return
         loaded = {"name": body.model, "version": body.version}
@@ -120,35 +135,40 @@
 
 
 class PrefixCache:
-    """A prefix cache of limited size that says what it stores and drops."""
+    """A prefix cache with LRU eviction that records stores and removals."""
 
     def __init__(self, entries):
-        self._entries = entries
-        self._held = collections.OrderedDict()
+        self._max_entries = entries
+        self._tokens_by_prefix = collections.OrderedDict()
         self.sequence = 0
         self.events = []
         self.hits = 0
 
-    def use(self, prefix_hash, tokens):
-        """Look a prefix up, store it, and return the tokens saved."""
-        saved = self._held.pop(prefix_hash, 0)
-        self._held[prefix_hash] = tokens
+    def access(self, prefix_hash, tokens):
+        """Look up a prefix and store it; return the prompt tokens saved."""
+        saved = self._tokens_by_prefix.pop(prefix_hash, 0)
+        self._tokens_by_prefix[prefix_hash] = tokens
         if saved:
             self.hits += 1
             return saved
-        self._say("stored", prefix_hash, tokens)
-        if len(self._held) > self._entries:
-            old, old_tokens = self._held.popitem(last=False)
-            self._say("removed", old, old_tokens)
+        self._record_event("stored", prefix_hash, tokens)
+        if len(self._tokens_by_prefix) > self._max_entries:
+            evicted, evicted_tokens = self._tokens_by_prefix.popitem(
+                last=False
+            )
+            self._record_event("removed", evicted, evicted_tokens)
         return 0
 
-    def _say(self, kind, prefix_hash, tokens):
+    def _record_event(self, kind, prefix_hash, tokens):
         self.events.append(
             {"kind": kind, "prefix_hash": prefix_hash, "tokens": tokens}
         )
 
-    def take_batch(self):
-        """Return the events not yet published and their first number."""
+    def drain_events(self):
+        """Remove and return the pending events.
+
+        Returns the sequence number of the first event, and the events.
+        """
         events, self.events = self.events, []
         first = self.sequence
         self.sequence += len(events)
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/paths.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/paths.py
@@ -1,30 +1,31 @@
-"""A path between two ends that can lose track of its connections."""
+"""A TCP proxy that simulates network faults."""
 
 import gevent
 from gevent import event
 from gevent import server
 from gevent import socket
 
-BLOCK = 65536
+BLOCK_BYTES = 65536
 
 
 class Path:
-    """Forwards connections to ``url``; use it as a context manager.
+    """Forwards TCP connections to ``url``; use it as a context manager.
 
-    Between :meth:`pause` and :meth:`go_on` nothing passes, on new connections
-    either; after :meth:`refuse` there are no new ones.
-    After :meth:`lose` nothing passes on the connections of that moment, for
-    good and without a word to either end, while new ones work.
+    :meth:`pause` stops all forwarding, also on new connections, until
+    :meth:`go_on`.  :meth:`refuse` rejects new connections.  :meth:`lose`
+    silently and permanently stops forwarding on the connections open at that
+    moment, like a NAT or firewall that has lost their state: neither end is
+    notified, and new connections work.  :meth:`cut` closes the open ones.
     """
 
     def __init__(self, url):
         host, port = url.removeprefix("http://").rsplit(":", 1)
         self._target = (host, int(port))
         self._server = server.StreamServer(("127.0.0.1", 0), self._serve)
-        self._lost = set()
-        self._open = set()
-        self._passes = event.Event()
-        self._passes.set()
+        self._silenced = set()
+        self._open_connections = set()
+        self._unpaused = event.Event()
+        self._unpaused.set()
         self.connections = 0
 
     def __enter__(self):
@@ -36,51 +37,51 @@
 
     @property
     def url(self):
-        """Where the path begins."""
+        """The URL that the proxy listens on."""
         return f"http://127.0.0.1:{self._server.server_port}"
 
     def lose(self):
-        """Lose track of every connection that is open now."""
-        self._lost |= self._open
+        """Silently stop forwarding on every connection that is open now."""
+        self._silenced |= self._open_connections
 
     def pause(self):
-        """Let nothing pass, as while the far end is frozen."""
-        self._passes.clear()
+        """Stop forwarding, as if the target were frozen."""
+        self._unpaused.clear()
 
     def go_on(self):
-        """Let all pass again that has come meanwhile."""
-        self._passes.set()
+        """Resume forwarding, including the data received meanwhile."""
+        self._unpaused.set()
 
     def refuse(self):
-        """Take no new connections; those that are open go on."""
+        """Refuse new connections; open ones continue."""
         self._server.close()
 
     def cut(self):
-        """Reset every connection that is open now."""
-        for number, one, other in self._open:
+        """Close both sockets of every open connection."""
+        for number, one, other in self._open_connections:
             one.close()
             other.close()
 
     def _serve(self, sock, address):
         self.connections += 1
-        far = socket.create_connection(self._target)
-        pair = (self.connections, sock, far)
-        self._open.add(pair)
-        copies = [
-            gevent.spawn(self._copy, pair, sock, far),
-            gevent.spawn(self._copy, pair, far, sock),
+        target_sock = socket.create_connection(self._target)
+        connection = (self.connections, sock, target_sock)
+        self._open_connections.add(connection)
+        greenlets = [
+            gevent.spawn(self._copy, connection, sock, target_sock),
+            gevent.spawn(self._copy, connection, target_sock, sock),
         ]
-        gevent.joinall(copies)
-        self._open.discard(pair)
+        gevent.joinall(greenlets)
+        self._open_connections.discard(connection)
         sock.close()
-        far.close()
+        target_sock.close()
 
-    def _copy(self, pair, source, target):
+    def _copy(self, connection, source, target):
         try:
             while True:
-                data = source.recv(BLOCK)
-                self._passes.wait()
-                while pair in self._lost:
+                data = source.recv(BLOCK_BYTES)
+                self._unpaused.wait()
+                while connection in self._silenced:
                     gevent.sleep(1000.0)
                 if not data:
                     target.shutdown(socket.SHUT_WR)
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/proc.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/proc.py
@@ -1,26 +1,26 @@
-"""What a process has used, as the kernel counts it (Linux ``/proc``)."""
+"""CPU time and memory of a process, from Linux ``/proc``."""
 
 import pathlib
 
-NANOSECONDS = 1e9
-KIB = 1024
+NANOSECONDS_PER_SECOND = 1e9
+BYTES_PER_KIB = 1024
 
 
 def cpu_seconds(pid):
-    """Return the time that all threads of a process ran, in seconds.
+    """Return the CPU time of all threads of a process, in seconds.
 
-    ``schedstat`` counts in nanoseconds, ``stat`` only in hundredths of a
-    second.  Threads that have ended are not in it.
+    It is read from ``schedstat``, which counts in nanoseconds; ``stat`` has
+    a resolution of only 10 ms.  Threads that have ended are not included.
     """
     total = 0
     for path in pathlib.Path(f"/proc/{pid}/task").glob("*/schedstat"):
         total += int(path.read_text().split()[0])
-    return total / NANOSECONDS
+    return total / NANOSECONDS_PER_SECOND
 
 
 def rss_bytes(pid):
-    """Return the memory of a process that is in RAM, in bytes."""
+    """Return the resident set size of a process, in bytes."""
     for line in pathlib.Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
-            return int(line.split()[1]) * KIB
+            return int(line.split()[1]) * BYTES_PER_KIB
     return 0
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/processes.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/processes.py
@@ -1,4 +1,4 @@
-"""Starts the project's own programs and stops them again."""
+"""Starts and stops the project's programs as child processes."""
 
 import contextlib
 import pathlib
@@ -11,13 +11,13 @@
 import msgspec
 import yaml
 
-START_SECONDS = 20.0
-STOP_SECONDS = 20.0
+START_TIMEOUT_SECONDS = 20.0
+STOP_TIMEOUT_SECONDS = 20.0
 LISTENERS = ("callers", "backend_servers", "operators", "peers")
 
 
 class InstanceProcess:
-    """One running ``dandeliond`` and where it listens."""
+    """A running ``dandeliond`` and the addresses of its listeners."""
 
     def __init__(self, name, process, addresses):
         self.name = name
@@ -26,36 +26,40 @@
 
 
 def program(name):
-    """Return the path of a program of this deployment."""
+    """Return the path of a program installed in this environment."""
     return str(pathlib.Path(sys.executable).parent / name)
 
 
 def stop(process):
-    """Ask a process to end, and make it end if it does not."""
+    """Terminate a process, kill it after a timeout; return its exit code."""
     if process.poll() is None:
         process.terminate()
     return wait(process)
 
 
 def wait(process):
-    """Wait for a process that was asked to end; return its exit code."""
+    """Wait for a process to exit, kill it after a timeout.
+
+    Returns the exit code.
+    """
     try:
-        return process.wait(STOP_SECONDS)
+        return process.wait(STOP_TIMEOUT_SECONDS)
     except subprocess.TimeoutExpired:
         process.kill()
         return process.wait()
 
 
 class Deployment:
-    """A few instances on loopback; use it as a context manager.
+    """Several instances on loopback; use it as a context manager.
 
-    The first ``keepers`` of them, or all, have a disk.
+    The first ``keepers`` instances, or all by default, are keepers: they
+    have a data folder.  ``extra`` overrides top-level settings.
     """
 
     def __init__(self, names, domains, extra=None, keepers=None):
         self._names = names
         self._domains = domains
-        self._extra = extra or {}
+        self._extra_settings = extra or {}
         self._keepers = list(names[:keepers])
         self._stack = contextlib.ExitStack()
         self.instances = []
@@ -63,27 +67,33 @@
         self.exit_codes = []
 
     def __enter__(self):
-        """Start the first instance, then all others at once."""
+        """Start the first instance, then all others concurrently."""
         with self._stack:
             self.folder = pathlib.Path(
                 self._stack.enter_context(tempfile.TemporaryDirectory())
             )
             self.start(0)
             others = range(1, len(self._names))
-            for launched in [self._launch(index) for index in others]:
-                self.instances.append(self._wait(launched))
+            for launch in [self._launch(index) for index in others]:
+                self.instances.append(self._wait_for_start(launch))
             self._stack = self._stack.pop_all()
         return self
 
     def __exit__(self, *exc_info):
-        """Stop all at once, each with one signal: a second would hurry."""
+        """Send each instance one SIGTERM, then wait for all.
+
+        A second signal would abort the graceful drain.
+        """
         while self._running:
             self._terminate(self._running.pop())
         return self._stack.__exit__(*exc_info)
 
     def start(self, index, ports=None):
-        """Start instance ``index``; ``ports`` keeps old addresses."""
-        started = self._wait(self._launch(index, ports))
+        """Start instance ``index``; ``ports`` gives its listen addresses.
+
+        Raises :class:`RuntimeError` if it does not start in time.
+        """
+        started = self._wait_for_start(self._launch(index, ports))
         if index < len(self.instances):
             self.instances[index] = started
         else:
@@ -96,26 +106,26 @@
         path.write_text(yaml.safe_dump(self._settings(index, ports)))
         log_path = self.folder / f"{name}.log"
         log = self._stack.enter_context(log_path.open("a"))
-        before = log_path.stat().st_size
+        log_offset = log_path.stat().st_size
         process = subprocess.Popen(
             [program("dandeliond"), "--settings", str(path)],
             stderr=log,
         )
         self._running.append(process)
         self._stack.callback(self._stop, process)
-        return name, process, log_path, before
+        return name, process, log_path, log_offset
 
-    def _wait(self, launched):
-        name, process, log_path, before = launched
-        addresses = self._wait_listening(process, log_path, before)
+    def _wait_for_start(self, launch):
+        name, process, log_path, log_offset = launch
+        addresses = self._wait_for_addresses(process, log_path, log_offset)
         return InstanceProcess(name, process, addresses)
 
     def log_text(self, index):
-        """Return what instance ``index`` has logged."""
+        """Return the log of instance ``index``."""
         return (self.folder / f"{self._names[index]}.log").read_text()
 
     def addresses(self, listener):
-        """Return the addresses of one listener over all instances."""
+        """Return the address of the given listener of each instance."""
         return [item.addresses[listener] for item in self.instances]
 
     def _stop(self, process):
@@ -129,7 +139,7 @@
             process.terminate()
 
     def _settings(self, index, ports):
-        cfg = {
+        settings = {
             "instance": self._names[index],
             "failure_domain": self._domains[index],
             "region": "r1",
@@ -145,17 +155,20 @@
         }
         name = self._names[index]
         if name in self._keepers:
-            cfg["keeper"] = {"data_dir": str(self.folder / name)}
-        cfg.update(self._extra)
-        return cfg
+            settings["keeper"] = {"data_dir": str(self.folder / name)}
+        settings.update(self._extra_settings)
+        return settings
 
-    def _wait_listening(self, process, log_path, before):
-        deadline = time.monotonic() + START_SECONDS
+    def _wait_for_addresses(self, process, log_path, log_offset):
+        deadline = time.monotonic() + START_TIMEOUT_SECONDS
         while time.monotonic() < deadline and process.poll() is None:
-            text = log_path.read_text()[before:]
+            text = log_path.read_text()[log_offset:]
             for line in text.splitlines(keepends=True):
                 if '"listening"' in line and line.endswith("\n"):
-                    found = msgspec.json.decode(line.encode())
-                    return {key: found[key] for key in LISTENERS}
+                    listening_line = msgspec.json.decode(line.encode())
+                    return {key: listening_line[key] for key in LISTENERS}
             gevent.sleep(0.05)
-        raise RuntimeError(f"no start: {log_path.read_text()[-2000:]}")
+        raise RuntimeError(
+            "the instance did not start, its log ends with:"
+            f" {log_path.read_text()[-2000:]}"
+        )
