--- a/bench/audit.py
+++ b/bench/audit.py
@@ -1,7 +1,8 @@
-"""The long audit: 20 seeds of 5,000 requests, none lost, doubled or cut.
+"""The long audit: 20 seeds with 5,000 requests each.
 
-Run: ``.venv/bin/python -m bench.audit``; it takes about an hour on one
-machine.  ``dandelionctl lab audit`` takes other sizes.
+It checks that no request is lost, executed twice or truncated.  Run it with
+``.venv/bin/python -m bench.audit``; it takes about an hour on one host.
+``dandelionctl lab audit`` runs other sizes.
 """
 
 from gevent import monkey
--- a/bench/bare_proxy.py
+++ b/bench/bare_proxy.py
@@ -1,7 +1,8 @@
-"""The least that a proxy on gevent can do, to measure others against.
+"""A minimal gevent proxy, the baseline for the cost of an instance.
 
-Takes a request, sends it to one engine, passes each event on, keeps no
-state and decides nothing.  Same server, client and settings as an instance.
+It forwards each request to one engine and relays the events, without state
+or routing decisions.  HTTP server, client and settings are those of an
+instance.
 
 Run by ``bench/relay.py``: ``python -m bench.bare_proxy ENGINE_URL``.
 """
@@ -16,15 +17,15 @@
 import geventhttpclient  # noqa: E402
 from geventhttpclient import url as url_module  # noqa: E402
 
-CONNECTIONS = 512
+MAX_CONNECTIONS = 512
 
 
 class BareProxy:
-    """A WSGI application that passes everything on."""
+    """A WSGI application that forwards every request to one engine."""
 
     def __init__(self, engine_url):
         self._client = geventhttpclient.HTTPClient.from_url(
-            url_module.URL(engine_url), concurrency=CONNECTIONS
+            url_module.URL(engine_url), concurrency=MAX_CONNECTIONS
         )
 
     def __call__(self, environ, start_response):
@@ -39,9 +40,9 @@
         start_response(
             "200 OK", [("Content-Type", response.get("Content-Type"))]
         )
-        return self._events(response)
+        return self._stream_events(response)
 
-    def _events(self, response):
+    def _stream_events(self, response):
         while True:
             event = response.readline(b"\n\n")
             if not event:
@@ -50,7 +51,7 @@
 
 
 def main(engine_url):
-    """Serve until ended."""
+    """Print the port, then serve forever."""
     server = pywsgi.WSGIServer(
         ("127.0.0.1", 0), BareProxy(engine_url), log=None
     )
--- a/bench/commits.py
+++ b/bench/commits.py
@@ -1,8 +1,9 @@
-"""Commit latency and throughput of three keepers, with real syncs.
+"""Commit latency and throughput of three keepers, with real disk syncs.
 
-The keepers' folders lie in the folder given, or the present one, so that a
-real disk is measured and not one in memory.  For comparison the same disk
-is synced alone, by turns with the writes.
+The keepers' data folders are created in FOLDER, by default the current
+folder, so that a real disk is measured and not a file system in memory.  For
+comparison, plain syncs of the same disk are timed before and after the
+writes.
 
 Run: ``.venv/bin/python -m bench.commits [FOLDER]``.
 """
@@ -21,66 +22,66 @@
 
 from . import nine  # noqa: E402
 
-WRITES = 200
-WRITERS = (1, 4, 16)
-SECONDS = 5.0
-MS = 1e3
+WRITE_COUNT = 200
+WRITER_COUNTS = (1, 4, 16)
+THROUGHPUT_SECONDS = 5.0
+MS_PER_SECOND = 1e3
 
 
 def spec(number):
-    """Return the spec of the pool that is written."""
+    """Return the spec of the backend pool that write ``number`` stores."""
     return {"select": {"model": f"m{number}"}}
 
 
 def quantiles(values):
-    """Return the median, 95th and 99th percentile as text, in ms."""
+    """Return the 50th, 95th and 99th percentile as text, in ms."""
     cuts = statistics.quantiles(values, n=100)
-    picked = (cuts[49], cuts[94], cuts[98])
-    return "  ".join(f"{value * MS:7.2f}" for value in picked)
+    selected = (cuts[49], cuts[94], cuts[98])
+    return "  ".join(f"{value * MS_PER_SECOND:7.2f}" for value in selected)
 
 
 def time_syncs(folder):
-    """Return the seconds that a small write and sync take alone."""
-    found = []
+    """Return the durations of small writes with a sync, in seconds."""
+    durations = []
     with tempfile.TemporaryFile(dir=folder) as file:
-        for _ in range(WRITES):
-            began = time.perf_counter()
+        for _ in range(WRITE_COUNT):
+            started_at = time.perf_counter()
             file.write(b"x" * 200)
             file.flush()
             os.fdatasync(file.fileno())
-            found.append(time.perf_counter() - began)
-    return found
+            durations.append(time.perf_counter() - started_at)
+    return durations
 
 
 def time_writes(server):
-    """Return the seconds that each write took, one after the other."""
-    found = []
-    for number in range(WRITES):
-        began = time.perf_counter()
+    """Return the duration of each of a series of writes, in seconds."""
+    durations = []
+    for number in range(WRITE_COUNT):
+        started_at = time.perf_counter()
         server.put("backendpools", "bench", spec(number))
-        found.append(time.perf_counter() - began)
-    return found
+        durations.append(time.perf_counter() - started_at)
+    return durations
 
 
 def throughput(servers, writers):
-    """Return the writes per second of so many writers at once."""
-    done = [0] * writers
-    end = time.monotonic() + SECONDS
+    """Return the writes per second of ``writers`` concurrent writers."""
+    completed = [0] * writers
+    end = time.monotonic() + THROUGHPUT_SECONDS
 
     def write(number):
         server = servers[number % len(servers)]
         while time.monotonic() < end:
-            server.put("backendpools", f"w{number}", spec(done[number]))
-            done[number] += 1
+            server.put("backendpools", f"w{number}", spec(completed[number]))
+            completed[number] += 1
 
     gevent.joinall([gevent.spawn(write, n) for n in range(writers)])
-    return sum(done) / SECONDS
+    return sum(completed) / THROUGHPUT_SECONDS
 
 
 def run(folder):
-    """Measure and print."""
+    """Measure and print the results."""
     with tempfile.TemporaryDirectory(dir=folder) as disks:
-        with nine.Nine(disks) as deployment:
+        with nine.NineInstances(disks) as deployment:
             servers = deployment.servers()
             leader = next(
                 server
@@ -93,7 +94,7 @@
             learner = quantiles(time_writes(servers[-1]))
             print(f"write at a learner    {learner}")
             print(f"sync alone            {quantiles(time_syncs(disks))}")
-            for writers in WRITERS:
+            for writers in WRITER_COUNTS:
                 rate = throughput(servers, writers)
                 print(f"{writers:2} writers  {rate:7.1f} writes/s")
 
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -2,10 +2,11 @@
 
     .venv/bin/python -m bench.decisions
 
-A decision is to admit and place one request.  The second figure is all that
-the policy does in the life of one: besides, the first output, the end with
-what is placed then, and one load report.  The verdict is the ratio within
-one run: from 250 to 2,500 servers the time must grow less than linearly.
+A decision admits and places one request.  The second figure is the total
+policy time of a request: the decision, the first output, the end of the
+request with the placements that it allows, and one load report.  The result
+that counts is the ratio within one run: from 250 to 2,500 servers, the time
+must grow less than linearly.
 """
 
 import random
@@ -18,12 +19,12 @@
 from dandeliontrail.decisions import work as work_module
 from dandeliontrail.resources import announcements
 
-SIZES = (10, 250, 2_500)
-# How many instances share the servers at each size.
-INSTANCES = {10: 9, 250: 53, 2_500: 530}
+SERVER_COUNTS = (10, 250, 2_500)
+# Number of instances that share the servers, by number of servers.
+INSTANCE_COUNTS = {10: 9, 250: 53, 2_500: 530}
 REQUESTS = 4_000
 ROUNDS = 5
-WARM = 1_000
+WARM_UP_REQUESTS = 1_000
 
 
 class _Directory:
@@ -59,47 +60,49 @@
 
 
 def _measure(count):
-    """Return the microseconds of a decision and of a whole request.
+    """Return the time of a decision and of a request, in microseconds.
 
-    Both are medians over the rounds.
+    Both are medians over the rounds; the first round is a warm-up.
     """
     policy = adaptive.Adaptive(
         random.Random(1),
-        view.FixedView(INSTANCES[count]),
+        view.FixedView(INSTANCE_COUNTS[count]),
         ("i1", "fd1"),
     )
     directory = _Directory(count)
     clock = _Clock()
     running = []
     number = 0
-    decisions = []
-    wholes = []
+    decision_times = []
+    request_times = []
     for round_number in range(ROUNDS + 1):
-        requests = REQUESTS if round_number else WARM
-        began = time.perf_counter()
-        deciding = 0.0
+        requests = REQUESTS if round_number else WARM_UP_REQUESTS
+        started_at = time.perf_counter()
+        decision_seconds = 0.0
         for _ in range(requests):
             number += 1
-            deciding += _one(policy, directory, clock, running, number)
-        spent = time.perf_counter() - began
+            decision_seconds += _process_request(
+                policy, directory, clock, running, number
+            )
+        elapsed = time.perf_counter() - started_at
         if round_number:
-            decisions.append(deciding / requests * 1e6)
-            wholes.append(spent / requests * 1e6)
-    return statistics.median(decisions), statistics.median(wholes)
+            decision_times.append(decision_seconds / requests * 1e6)
+            request_times.append(elapsed / requests * 1e6)
+    return statistics.median(decision_times), statistics.median(request_times)
 
 
 class _Clock:
     now = 0.0
 
 
-def _one(policy, directory, clock, running, number):
-    """Take one request in and another out; return the time to decide."""
+def _process_request(policy, directory, clock, running, number):
+    """Start one request, finish an older one; return the decision time."""
     clock.now += 0.01
     work = _work(number)
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     policy.offer(work, clock.now)
     placed = policy.next(clock.now, directory)
-    deciding = time.perf_counter() - began
+    decision_seconds = time.perf_counter() - started_at
     running.extend(placed)
     for item in placed:
         policy.first_output(item.work.request_id, clock.now)
@@ -113,18 +116,18 @@
     server = directory.listed[number % len(directory.listed)]
     server.heard = clock.now
     policy.observe(server, clock.now)
-    return deciding
+    return decision_seconds
 
 
 def main():
-    """Print the figures and the ratio."""
-    held = {count: _measure(count) for count in SIZES}
-    for count, (decision, whole) in held.items():
+    """Print the measurements and the ratio."""
+    measured = {count: _measure(count) for count in SERVER_COUNTS}
+    for count, (decision_time, request_time) in measured.items():
         print(
-            f"{count:5} servers: {decision:6.1f} us a decision,"
-            f" {whole:6.1f} us a request"
+            f"{count:5} servers: {decision_time:6.1f} us a decision,"
+            f" {request_time:6.1f} us a request"
         )
-    ratio = held[2_500][0] / held[250][0]
+    ratio = measured[2_500][0] / measured[250][0]
     print(f"2,500 to 250 servers: {ratio:.2f} times the time")
 
 
--- a/bench/in_force.py
+++ b/bench/in_force.py
@@ -1,10 +1,11 @@
-"""How soon a change is in force on nine instances, and what it costs them.
+"""Propagation time and cost of a change on nine instances.
 
-The time counts from when the write is sent until each instance says that
-it has applied it.  Then one failure domain is cut off, changes go on, and
-it is joined again: the time until it has them all, and until it knows that
-it is not stale.  Bytes and processor time of a change are the difference
-between a time with changes and one without.
+The time is measured from sending the write until each instance reports that
+it has applied it.  Then one failure domain is partitioned off while changes
+continue, and reconnected: this measures the time until it has applied all
+changes, and until it reports that it is no longer stale.  The bytes and CPU
+time of a change are the difference between a period with changes and one
+without.
 
 Run: ``.venv/bin/python -m bench.in_force``.
 """
@@ -24,50 +25,55 @@
 from . import commits  # noqa: E402
 from . import nine  # noqa: E402
 
-CHANGES = 60
-QUIET_SECONDS = 12.0
-RATE = 4.0
-POLL = 0.01
-MS = 1e3
+CHANGE_COUNT = 60
+COST_SECONDS = 12.0
+CHANGES_PER_SECOND = 4.0
+POLL_SECONDS = 0.01
+MS_PER_SECOND = 1e3
 
 
-def until_applied(server, version, began):
-    """Return the seconds until an instance has applied ``version``."""
+def seconds_until_applied(server, version, started_at):
+    """Wait until an instance has applied ``version``.
+
+    Returns the seconds since ``started_at``, a monotonic time.
+    """
     while server.get("status")["version"] < version:
-        gevent.sleep(POLL)
-    return time.monotonic() - began
+        gevent.sleep(POLL_SECONDS)
+    return time.monotonic() - started_at
 
 
 def write(server, number):
-    """Write once and return when that began and the version."""
-    began = time.monotonic()
+    """Write once; return the start time and the version written."""
+    started_at = time.monotonic()
     done = server.put("backendpools", "bench", commits.spec(number))
-    return began, done["version"]
+    return started_at, done["version"]
 
 
-def land(servers, number):
-    """Write at one instance; return the seconds for each to apply it."""
-    began, version = write(servers[number % len(servers)], number)
+def propagation_seconds(servers, number):
+    """Write at one instance; return the seconds until each applied it."""
+    started_at, version = write(servers[number % len(servers)], number)
     jobs = [
-        gevent.spawn(until_applied, server, version, began)
+        gevent.spawn(seconds_until_applied, server, version, started_at)
         for server in servers
     ]
     return [job.get() for job in jobs]
 
 
-def measure_landing(servers):
-    """Print how soon changes are in force."""
-    times = [land(servers, number) for number in range(CHANGES)]
-    every = [value for row in times for value in row]
+def measure_propagation(servers):
+    """Print the time until changes are in force."""
+    times = [
+        propagation_seconds(servers, number) for number in range(CHANGE_COUNT)
+    ]
+    all_times = [value for row in times for value in row]
     slowest = [max(row) for row in times]
-    print(f"{CHANGES} changes, ms               p50      p95      p99")
-    print(f"in force on an instance   {commits.quantiles(every)}")
+    print(f"{CHANGE_COUNT} changes, ms               p50      p95      p99")
+    print(f"in force on an instance   {commits.quantiles(all_times)}")
     print(f"in force on all nine      {commits.quantiles(slowest)}")
-    print(f"slowest of all            {max(every) * MS:7.1f}")
+    print(f"slowest of all            {max(all_times) * MS_PER_SECOND:7.1f}")
 
 
-def measure_cut(deployment):
-    """Print what a failure domain that is cut off goes through."""
+def measure_partition(deployment):
+    """Print the effects of partitioning a failure domain for 15 s."""
     servers = deployment.servers()
     inside = [
         server
@@ -75,11 +81,11 @@
         if place == "fd3"
     ]
     outside = [item for item in servers if item not in inside]
-    deployment.cut("fd3")
-    began = time.monotonic()
+    deployment.partition_off("fd3")
+    started_at = time.monotonic()
     version = 0
     longest = 0.0
-    while time.monotonic() - began < 15.0:
+    while time.monotonic() - started_at < 15.0:
         sent, version = write(outside[0], int(time.monotonic() * 1000))
         longest = max(longest, time.monotonic() - sent)
         gevent.sleep(0.5)
@@ -92,12 +98,15 @@
     stale = [
         server.get("status")["configuration"]["stale"] for server in inside
     ]
-    print(f"cut off 15 s: longest write outside {longest * MS:.0f} ms;")
+    print(
+        "cut off 15 s: longest write outside"
+        f" {longest * MS_PER_SECOND:.0f} ms;"
+    )
     print(f"  a write inside: {answer}; stale inside: {stale}")
-    deployment.cut("")
-    began = time.monotonic()
+    deployment.partition_off("")
+    started_at = time.monotonic()
     jobs = [
-        gevent.spawn(until_applied, server, version, began)
+        gevent.spawn(seconds_until_applied, server, version, started_at)
         for server in inside
     ]
     caught_up = [job.get() for job in jobs]
@@ -109,13 +118,13 @@
             )
         )
     )
-    fresh = time.monotonic() - began
+    fresh = time.monotonic() - started_at
     print(f"joined: caught up after {max(caught_up):.2f} s,")
     print(f"  nobody stale after {fresh:.2f} s")
 
 
 def sent_bytes(server):
-    """Return the bytes that an instance has sent to others."""
+    """Return the bytes that an instance has sent to its peers."""
     with urllib.request.urlopen(f"{server.url}/metrics") as answer:
         text = answer.read().decode()
     name = "dandeliontrail_peer_sent_bytes_total "
@@ -123,21 +132,24 @@
     return float(line.split()[1])
 
 
-def used(deployment):
-    """Return bytes sent and processor seconds of each instance so far."""
+def resource_usage(deployment):
+    """Return the bytes sent and CPU seconds of each instance so far."""
     return [
         (sent_bytes(server), proc.cpu_seconds(pid))
         for server, pid in zip(deployment.servers(), deployment.pids())
     ]
 
 
-def over(deployment, work):
-    """Return what ``work`` cost each instance: bytes/s and core share."""
-    before = used(deployment)
-    began = time.monotonic()
+def cost_of(deployment, work):
+    """Return the bytes/s and the share of a core each instance used.
+
+    Both are averages over the duration of ``work()``.
+    """
+    before = resource_usage(deployment)
+    started_at = time.monotonic()
     work()
-    took = time.monotonic() - began
-    after = used(deployment)
+    took = time.monotonic() - started_at
+    after = resource_usage(deployment)
     return [
         ((b[0] - a[0]) / took, (b[1] - a[1]) / took)
         for a, b in zip(before, after)
@@ -145,17 +157,17 @@
 
 
 def measure_cost(deployment):
-    """Print what a change costs an instance."""
+    """Print the cost of a change to an instance."""
     servers = deployment.servers()
 
     def changes():
-        for number in range(int(QUIET_SECONDS * RATE)):
+        for number in range(int(COST_SECONDS * CHANGES_PER_SECOND)):
             write(servers[number % len(servers)], 1000 + number)
-            gevent.sleep(1 / RATE)
+            gevent.sleep(1 / CHANGES_PER_SECOND)
 
-    quiet = over(deployment, lambda: gevent.sleep(QUIET_SECONDS))
-    busy = over(deployment, changes)
-    rate = RATE
+    quiet = cost_of(deployment, lambda: gevent.sleep(COST_SECONDS))
+    busy = cost_of(deployment, changes)
+    rate = CHANGES_PER_SECOND
     for label, rows in (("quiet", quiet), ("busy", busy)):
         sent = statistics.mean(row[0] for row in rows)
         cores = statistics.mean(row[1] for row in rows)
@@ -169,16 +181,16 @@
         cores = statistics.mean(row[1] for row in rows)
         print(
             f"a change costs a {label:7}: {sent:6.0f} bytes sent,"
-            f" {cores * MS:5.2f} ms of processor time"
+            f" {cores * MS_PER_SECOND:5.2f} ms of processor time"
         )
 
 
 def run():
-    """Measure and print."""
-    with nine.Nine() as deployment:
-        measure_landing(deployment.servers())
+    """Measure and print the results."""
+    with nine.NineInstances() as deployment:
+        measure_propagation(deployment.servers())
         measure_cost(deployment)
-        measure_cut(deployment)
+        measure_partition(deployment)
     print(f"exit codes {deployment.exit_codes}")
 
 
--- a/bench/log_restart.py
+++ b/bench/log_restart.py
@@ -1,9 +1,9 @@
-"""Restart time and memory of a keeper against the length of its log.
+"""Restart time and memory of a keeper as a function of its log length.
 
-A folder is filled with so many changes over 1,600 organisations, through
-the replica and the storage that an instance uses; only the waiting for the
-disk is left out while filling.  Then a new process opens the folder, and
-tells how long that took and how much memory it has before and after.
+A data folder is filled with changes to 1,600 organisations, through the
+replica and storage code of an instance; only the disk syncs are skipped.
+Then a new process opens the folder and reports the time taken and its memory
+before and after.
 
 Run: ``.venv/bin/python -m bench.log_restart``.
 """
@@ -29,14 +29,14 @@
 from dandeliontrail_node import disk  # noqa: E402
 import msgspec  # noqa: E402
 
-LENGTHS = (0, 1_000, 10_000, 100_000)
-ORGANISATIONS = 1_600
-MIB = 1024 * 1024
-KEY = "sha256:" + "0" * 58
+CHANGE_COUNTS = (0, 1_000, 10_000, 100_000)
+ORGANISATION_COUNT = 1_600
+BYTES_PER_MIB = 1024 * 1024
+KEY_HASH_PREFIX = "sha256:" + "0" * 58
 
 
-class Filler:
-    """One keeper whose effects go straight to its storage."""
+class SingleKeeper:
+    """A single keeper whose effects are executed on its storage directly."""
 
     def __init__(self, storage):
         self._storage = storage
@@ -45,22 +45,22 @@
         self.tick()
 
     def tick(self):
-        """Let a second pass, so that the lone keeper leads."""
+        """Advance time by a second, so that the single keeper is elected."""
         for _ in range(10):
             self.now += 0.1
-            self._run(self.reducer.tick(self.now))
+            self._execute_effects(self.reducer.tick(self.now))
 
     def write(self, operation_id, operations):
-        """Have one change accepted."""
+        """Submit one change; fails unless it is accepted."""
         change = changes.Change(operation_id, operations, "bench")
         event = events.WriteSubmitted(operation_id, change)
-        answers = self._run(self.reducer.apply(event, self.now))
+        answers = self._execute_effects(self.reducer.apply(event, self.now))
         (answer,) = answers
         assert answer.result.kind is changes.ResultKind.ACCEPTED, answer
 
-    def _run(self, out):
+    def _execute_effects(self, produced):
         answers = []
-        for effect in out:
+        for effect in produced:
             if isinstance(effect, effects.WriteAnswered):
                 answers.append(effect)
             ticket = getattr(effect, "ticket", None)
@@ -70,12 +70,14 @@
                 self._storage.replace(effect.checkpoint, effect.records)
             if ticket is not None:
                 event = events.LogSynced(ticket)
-                answers += self._run(self.reducer.apply(event, self.now))
+                answers += self._execute_effects(
+                    self.reducer.apply(event, self.now)
+                )
         return answers
 
 
 def new_reducer(storage):
-    """Return the reducer of the one keeper."""
+    """Return the reducer of the single keeper."""
     keeper = quorum_log_records.Keeper(storage.folder, *storage.load())
     identity = dandeliontrail.Identity("k1", "fd1", "r1", 1)
     return dandeliontrail.new_reducer(
@@ -84,10 +86,10 @@
 
 
 def organisation(number, version):
-    """Return the operation that writes one organisation."""
+    """Return an operation that writes one organisation."""
     name = f"org-{number}"
     spec = {
-        "keys": [f"{KEY}{number:06x}"],
+        "keys": [f"{KEY_HASH_PREFIX}{number:06x}"],
         "weight": 1.0 + version % 7,
         "limits": {"requests_per_second": 10.0, "tokens_per_day": 1e9},
         "default_class": "lookup",
@@ -97,44 +99,46 @@
 
 
 def fill(folder, length):
-    """Fill a folder and return the seconds that a change took."""
+    """Fill a folder with changes; return the mean seconds per change."""
     storage = disk.FileStorage(folder)
-    filler = Filler(storage)
+    single_keeper = SingleKeeper(storage)
     lookup = changes.Operation(changes.Verb.PUT, "requestclasses", "lookup")
-    first = [lookup]
-    first += [organisation(number, 0) for number in range(ORGANISATIONS)]
-    filler.write("first", first)
-    began = time.perf_counter()
+    initial_operations = [lookup]
+    initial_operations += [
+        organisation(number, 0) for number in range(ORGANISATION_COUNT)
+    ]
+    single_keeper.write("first", initial_operations)
+    started_at = time.perf_counter()
     for number in range(length):
-        operation = organisation(number % ORGANISATIONS, number + 1)
-        filler.write(f"op-{number}", [operation])
-    took = time.perf_counter() - began
+        operation = organisation(number % ORGANISATION_COUNT, number + 1)
+        single_keeper.write(f"op-{number}", [operation])
+    elapsed = time.perf_counter() - started_at
     storage.close()
-    return took / max(1, length)
+    return elapsed / max(1, length)
 
 
 def reopen(folder):
-    """Open a folder as a starting instance does; print what it took."""
+    """Open a folder like a starting instance; print time and memory."""
     before = proc.rss_bytes(os.getpid())
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     storage = disk.FileStorage(folder)
-    # The lone keeper elects itself at its first tick and applies the rest
-    # of its log, which only a leader can know to be committed.
-    filler = Filler(storage)
-    took = time.perf_counter() - began
+    # The single keeper elects itself at its first tick and then applies the
+    # rest of its log; only a leader can know that it is committed.
+    single_keeper = SingleKeeper(storage)
+    elapsed = time.perf_counter() - started_at
     after = proc.rss_bytes(os.getpid())
-    print(took, before, after, filler.reducer.state.log.applied)
+    print(elapsed, before, after, single_keeper.reducer.state.log.applied)
 
 
 def run():
-    """Fill folders of several lengths, open each, print a table."""
+    """Fill and reopen a folder for each log length, and print a table."""
     print("changes  restart s  grown MiB  in all MiB  file MiB  ms a change")
-    # Filling 100,000 changes with a sync each would take minutes and
-    # measure the disk; bench.commits does that.
+    # With a sync for each of 100,000 changes, filling would take minutes and
+    # measure the disk, which is what bench.commits is for.
     os.fdatasync = os.fsync = lambda handle: None
-    for length in LENGTHS:
+    for length in CHANGE_COUNTS:
         with tempfile.TemporaryDirectory() as folder:
-            each = fill(folder, length)
+            seconds_per_change = fill(folder, length)
             size = (pathlib.Path(folder) / "log").stat().st_size
             child = subprocess.run(
                 [sys.executable, "-m", "bench.log_restart", folder],
@@ -142,11 +146,13 @@
                 check=True,
                 text=True,
             )
-            took, before, after, applied = map(float, child.stdout.split())
+            elapsed, before, after, applied = map(float, child.stdout.split())
             assert applied > length, applied
             print(
-                f"{length:7} {took:10.3f} {(after - before) / MIB:10.1f}"
-                f" {after / MIB:11.1f} {size / MIB:9.2f} {each * 1e3:12.3f}"
+                f"{length:7} {elapsed:10.3f}"
+                f" {(after - before) / BYTES_PER_MIB:10.1f}"
+                f" {after / BYTES_PER_MIB:11.1f} {size / BYTES_PER_MIB:9.2f}"
+                f" {seconds_per_change * 1e3:12.3f}"
             )
 
 
--- a/bench/logging_cost.py
+++ b/bench/logging_cost.py
@@ -1,11 +1,11 @@
-"""What the log costs in processor time, a request.
+"""CPU time of logging per request.
 
     .venv/bin/python -m bench.logging_cost
 
-The policy and the life of a routed request run as in an instance, with the
-log's lines written to ``/dev/null`` within no budget, with the budget of an
-instance under a storm, and with no line at all.  The verdict is the part of
-the whole that a full log costs.
+Routed requests pass through the reducer as in an instance, with the log
+written to ``/dev/null``: once with all lines, once with the log budget
+exhausted as under overload, and once without logging.  The result that
+counts is the share of the total time that a full log takes.
 """
 
 import collections
@@ -29,14 +29,15 @@
 
 REQUESTS = 2_000
 ROUNDS = 5
-# A virtual second for each request: the budget never runs out, or always.
-STEP_FULL = 1.0
-STEP_STORM = 0.0001
-ENGINES = 9
+# Virtual seconds between requests: the log budget never runs out with the
+# first value, and always does with the second.
+UNLIMITED_STEP_SECONDS = 1.0
+EXHAUSTED_STEP_SECONDS = 0.0001
+ENGINE_COUNT = 9
 
 
 class _Clock:
-    """Virtual time for the log's budget."""
+    """Virtual clock for the log's budget."""
 
     def __init__(self, step):
         self.step = step
@@ -63,7 +64,7 @@
     route = revisions.Route("chat", "h", "/c/", split, 10.0, streamed=True)
     revision = revisions.Revision(1, "", [route], [revisions.Service("llm")])
     reducer.state.routing.replace(revision)
-    for number in range(ENGINES):
+    for number in range(ENGINE_COUNT):
         reducer.apply(events.Announced(_engine(number)), 0.0)
     return reducer
 
@@ -82,8 +83,8 @@
     )
 
 
-def _serve(reducer, log, logger, number):
-    """Take one request through its life, with its lines."""
+def _process_request(reducer, log, logger, number):
+    """Process one request from arrival to end, with its log lines."""
     name = f"request-{number}"
     parts = ((f"part{number % 50}", 300), (f"own{number}", 900))
     received = events.RoutedRequestReceived(
@@ -96,17 +97,17 @@
         events.AnswerFinished(name, 1, 1200, 40),
     ):
         log.event(event, 0.0)
-        out = reducer.apply(event, 0.0)
-        for effect in out:
+        produced = reducer.apply(event, 0.0)
+        for effect in produced:
             if isinstance(
                 effect, effects.Log
             ) and not request_log.is_said_at_the_end(effect):
                 logger.info(effect.message, extra=effect.fields)
-        log.effects(out, 0.0)
+        log.effects(produced, 0.0)
 
 
 def _measure(step, level):
-    """Return the microseconds of processor time a request."""
+    """Return the CPU time per request, in microseconds."""
     clock = _Clock(step)
     descriptor = os.open(os.devnull, os.O_WRONLY)
     handler = bounded_log.BoundedHandler(descriptor, clock)
@@ -115,14 +116,16 @@
     counters = collections.Counter()
     log = request_log.RequestLog(logger, counters)
     reducer = _reducer()
-    taken = []
+    durations = []
     for round_number in range(ROUNDS):
         began = time.process_time()
         for number in range(REQUESTS):
             clock.now += step
-            _serve(reducer, log, logger, round_number * REQUESTS + number)
+            _process_request(
+                reducer, log, logger, round_number * REQUESTS + number
+            )
             handler.flush()
-        taken.append((time.process_time() - began) / REQUESTS * 1e6)
+        durations.append((time.process_time() - began) / REQUESTS * 1e6)
     if (
         reducer.lives
         or not counters['requests_ended_total{reason="complete"}']
@@ -130,18 +133,18 @@
         raise SystemExit("the requests did not end as they should")
     handler.close()
     os.close(descriptor)
-    return statistics.median(taken)
+    return statistics.median(durations)
 
 
 def main():
-    """Print the three figures and the part that a full log costs."""
-    none = _measure(STEP_FULL, logging.CRITICAL)
-    full = _measure(STEP_FULL, logging.INFO)
-    storm = _measure(STEP_STORM, logging.INFO)
-    print(f"no line:           {none:7.1f} us a request")
-    print(f"all lines:         {full:7.1f} us a request")
-    print(f"budget exhausted:  {storm:7.1f} us a request")
-    print(f"the log's part:    {(full - none) / full:7.2f}")
+    """Print the three measurements and the share of a full log."""
+    without_log = _measure(UNLIMITED_STEP_SECONDS, logging.CRITICAL)
+    full_log = _measure(UNLIMITED_STEP_SECONDS, logging.INFO)
+    exhausted_budget = _measure(EXHAUSTED_STEP_SECONDS, logging.INFO)
+    print(f"no line:           {without_log:7.1f} us a request")
+    print(f"all lines:         {full_log:7.1f} us a request")
+    print(f"budget exhausted:  {exhausted_budget:7.1f} us a request")
+    print(f"the log's part:    {(full_log - without_log) / full_log:7.2f}")
 
 
 if __name__ == "__main__":
--- a/bench/members.py
+++ b/bench/members.py
@@ -1,5 +1,6 @@
-"""Measures membership, dissemination and usage; prints the tables of
-docs/design/membership.md.
+"""Measures membership, dissemination and usage costs.
+
+Prints the tables of docs/design/membership.md.
 
     .venv/bin/python -m bench.members models
     .venv/bin/python -m bench.members pure 9
@@ -24,16 +25,16 @@
 
 
 def quantiles(values):
-    """Return median, 99th and worst of ``values``, in ms."""
+    """Return median, 99th percentile and maximum of ``values``, in ms."""
     values = sorted(values)
     if not values:
         return "none"
-    at = [len(values) // 2, int(len(values) * 0.99), len(values) - 1]
-    return " / ".join(f"{values[index] * 1000:.0f}" for index in at)
+    positions = [len(values) // 2, int(len(values) * 0.99), len(values) - 1]
+    return " / ".join(f"{values[index] * 1000:.0f}" for index in positions)
 
 
 def print_models():
-    """Print the notes' two tables, and the same for this system."""
+    """Print gossip and broadcast models: reference sizes, then ours."""
     rng = random.Random(1)
     print("gossip, 10,000 peers: known after each round")
     print("  ", models.gossip_rounds(10_000, rng))
@@ -57,42 +58,50 @@
             )
 
 
-def print_spent(label, spent):
-    """Print what one kind of nodes spent."""
-    if spent is None:
+def print_cost(label, cost):
+    """Print the traffic and CPU share of one kind of node."""
+    if cost is None:
         return
     print(
-        f"{label}: {spent.nodes} nodes, sent {spent.bytes:.0f} B/s"
-        f" (worst {spent.worst_bytes:.0f}), received"
-        f" {spent.received_bytes:.0f} B/s, {spent.batches:.1f} requests/s,"
-        f" {spent.messages:.1f} messages/s, {spent.busy_share * 100:.2f}% of"
+        f"{label}: {cost.nodes} nodes, sent {cost.bytes:.0f} B/s"
+        f" (worst {cost.worst_bytes:.0f}), received"
+        f" {cost.received_bytes:.0f} B/s, {cost.batches:.1f} requests/s,"
+        f" {cost.messages:.1f} messages/s, {cost.busy_share * 100:.2f}% of"
         " a core"
     )
-    for kind, size in spent.by_kind.items():
+    for kind, size in cost.by_kind.items():
         print(f"    {kind} {size:.0f} B/s")
 
 
 def print_pure(name):
-    """Print costs and convergence at one size."""
-    made, ordinary, relays = costs.steady(MIXES[name])
-    print_spent("ordinary", ordinary)
-    print_spent("relays", relays)
-    now = made.net.now
-    serving = [len(node.state.registry.serving(now)) for node in made.nodes]
-    print(f"serving at the worst node: {min(serving)} of {made.mix.servers}")
+    """Print costs and convergence times at one system size."""
+    simulation, ordinary, relays = costs.steady(MIXES[name])
+    print_cost("ordinary", ordinary)
+    print_cost("relays", relays)
+    now = simulation.net.now
+    serving = [
+        len(node.state.registry.serving(now)) for node in simulation.nodes
+    ]
+    print(
+        f"serving at the worst node: {min(serving)}"
+        f" of {simulation.mix.servers}"
+    )
     print("ms, median / 99th / worst over all nodes:")
-    print("  join", quantiles(costs.join_seconds(made, made.mix.servers)))
+    print(
+        "  join",
+        quantiles(costs.join_seconds(simulation, simulation.mix.servers)),
+    )
     leaves = []
     for index in range(5):
-        leaves.extend(costs.leave_seconds(made, index))
+        leaves.extend(costs.leave_seconds(simulation, index))
     print("  leave", quantiles(leaves))
-    print("  silent", quantiles(costs.silence_seconds(made, 6)))
-    print("  failed instance", quantiles(costs.fail_seconds(made, 1)))
+    print("  silent", quantiles(costs.silence_seconds(simulation, 6)))
+    print("  failed instance", quantiles(costs.fail_seconds(simulation, 1)))
     print(f"peak memory of the process: {costs.peak_memory_mb():.0f} MB")
 
 
 def print_slopes():
-    """Print what one more of each costs an ordinary node and a relay."""
+    """Print the marginal cost of each item, for ordinary nodes and relays."""
     for row in costs.slopes():
         print(
             f"{row.role:9} one of {row.of:13} {row.bytes:9.3f} B/s"
@@ -104,7 +113,7 @@
 
 
 def print_processes():
-    """Print convergence and costs between nine real processes."""
+    """Print convergence times and costs of nine real processes."""
     found = members_processes.measure()
     print(f"leave {quantiles(found.leaves)} ms")
     print(f"join {quantiles(found.joins)} ms")
--- a/bench/nine.py
+++ b/bench/nine.py
@@ -1,7 +1,7 @@
-"""Nine real instances in three failure domains, one keeper in each.
+"""Nine real instances in three failure domains, with one keeper in each.
 
-Messages between instances can be cut off: an instance started through this
-module drops what would cross the border of the addresses in a file.
+Network partitions can be simulated: instances started through this module
+drop messages between an address listed in a file and one not listed there.
 """
 
 from gevent import monkey
@@ -22,19 +22,19 @@
 DOMAINS = ["fd1", "fd2", "fd3"] * 3
 NAMES = [f"{domain}-{n // 3}" for n, domain in enumerate(DOMAINS)]
 KEEPERS = NAMES[:3]
-CUT_FILE = "BENCH_CUT_FILE"
-READ_EVERY = 0.05
+PARTITION_FILE_VARIABLE = "BENCH_CUT_FILE"
+REREAD_INTERVAL_SECONDS = 0.05
 
 
-class Nine(processes.Deployment):
-    """The nine, of which the first three have a disk."""
+class NineInstances(processes.Deployment):
+    """A deployment of nine instances; the first three are keepers."""
 
     def __init__(self, disks=""):
         super().__init__(NAMES, DOMAINS)
         self._disks = disks
 
     def __enter__(self):
-        """Start all and wait until each has the configuration."""
+        """Start all instances and wait until each has the configuration."""
         processes.program = self._program
         super().__enter__()
         wait_until(lambda: all(self._ready(item) for item in self.servers()))
@@ -42,47 +42,47 @@
 
     def _program(self, name):
         path = self.folder / "instance"
-        # Written once: others may be starting from it already.
+        # Written only once, because other instances may be executing it.
         if not path.exists():
             _write_program(path)
             os.environ["PYTHONPATH"] = str(pathlib.Path(__file__).parents[1])
-            os.environ[CUT_FILE] = str(self.folder / "cut")
+            os.environ[PARTITION_FILE_VARIABLE] = str(self.folder / "cut")
         return str(path)
 
     def _settings(self, index, ports):
-        cfg = super()._settings(index, ports)
-        cfg["bootstrap_keepers"] = KEEPERS
+        settings = super()._settings(index, ports)
+        settings["bootstrap_keepers"] = KEEPERS
         if self._names[index] not in KEEPERS:
-            del cfg["keeper"]
+            del settings["keeper"]
         elif self._disks:
             folder = pathlib.Path(self._disks) / self._names[index]
-            cfg["keeper"] = {"data_dir": str(folder)}
-        return cfg
+            settings["keeper"] = {"data_dir": str(folder)}
+        return settings
 
     def _ready(self, server):
         return server.get("status")["configuration"]["ready"]
 
     def servers(self):
-        """Return the API of each instance."""
+        """Return a client for the API of each instance."""
         return [
             api.Api(f"http://{address}")
             for address in self.addresses("operators")
         ]
 
     def pids(self):
-        """Return the process of each instance."""
+        """Return the process id of each instance."""
         return [item.process.pid for item in self.instances]
 
-    def cut(self, domain):
-        """Cut a failure domain off from the others; '' joins all again."""
-        inside = [
+    def partition_off(self, domain):
+        """Partition off a failure domain; "" heals the partition."""
+        addresses_inside = [
             item.addresses["peers"]
             for item, place in zip(self.instances, DOMAINS)
             if place == domain
         ]
         file = self.folder / "cut"
         new = file.with_suffix(".new")
-        new.write_text("\n".join(inside))
+        new.write_text("\n".join(addresses_inside))
         new.rename(file)
 
 
@@ -92,41 +92,46 @@
     path.chmod(0o755)
 
 
-def wait_until(holds, seconds=30.0):
-    """Wait until ``holds()`` is true."""
+def wait_until(condition, seconds=30.0):
+    """Wait until ``condition()`` is true.
+
+    Raises :class:`RuntimeError` after ``seconds``.
+    """
     deadline = time.monotonic() + seconds
-    while not holds():
+    while not condition():
         if time.monotonic() > deadline:
-            raise RuntimeError("waited in vain")
+            raise RuntimeError("the condition was not met in time")
         gevent.sleep(0.02)
 
 
-class _Cut:
-    """The addresses inside the cut, read again now and then."""
+class _Partition:
+    """The addresses that are partitioned off, reread periodically."""
 
     def __init__(self, path):
         self._path = pathlib.Path(path)
-        self._inside = set()
-        self._read = 0.0
+        self._addresses = set()
+        self._read_at = 0.0
 
-    def inside(self):
-        """Return the addresses inside."""
+    def addresses_inside(self):
+        """Return the addresses that are partitioned off."""
         now = time.monotonic()
-        if now - self._read > READ_EVERY:
-            self._read = now
+        if now - self._read_at > REREAD_INTERVAL_SECONDS:
+            self._read_at = now
             if self._path.exists():
-                self._inside = set(self._path.read_text().split())
-        return self._inside
+                self._addresses = set(self._path.read_text().split())
+        return self._addresses
 
 
 def serve():
-    """Run ``dandeliond`` with a peer link that can be cut."""
-    cut = _Cut(os.environ[CUT_FILE])
+    """Run ``dandeliond`` with a peer link that honours the partition."""
+    partition = _Partition(os.environ[PARTITION_FILE_VARIABLE])
     send = peer_link.HttpPeerLink.send
 
     def send_unless_cut(self, address, message):
-        inside = cut.inside()
-        if (self._identity.address in inside) == (address in inside):
+        addresses_inside = partition.addresses_inside()
+        if (self._identity.address in addresses_inside) == (
+            address in addresses_inside
+        ):
             send(self, address, message)
 
     peer_link.HttpPeerLink.send = send_unless_cut
--- a/bench/order_world.py
+++ b/bench/order_world.py
@@ -1,8 +1,7 @@
-"""Reducers of a few instances in virtual time, with engines that load.
+"""A simulation in virtual time of instances and engines that load models.
 
-Messages take a fixed two milliseconds and arrive in order; there is no
-network model beyond that.  Every reducer is the one that ``dandeliond``
-runs.
+Messages take a constant two milliseconds and arrive in order; there is no
+other network model.  The reducers are those that ``dandeliond`` runs.
 """
 
 import dataclasses
@@ -21,14 +20,17 @@
 from dandeliontrail.resources import announcements
 from dandeliontrail.resources import changes
 
-TRIP = 0.002
-TICK = 0.1
-ANNOUNCE = 1.0
+MESSAGE_DELAY_SECONDS = 0.002
+TICK_SECONDS = 0.1
+ANNOUNCE_INTERVAL_SECONDS = 1.0
 
 
 @dataclasses.dataclass(slots=True)
 class Engine:
-    """An engine with its models, and the loads under way."""
+    """An engine with its loaded models and its current loads.
+
+    ``loads`` maps (model, version) to the part still to load, from 1 to 0.
+    """
 
     name: str
     failure_domain: str
@@ -40,8 +42,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Obeyed:
-    """An order as it reached an engine, at virtual second ``at``."""
+class ExecutedOrder:
+    """An order that an engine executed at virtual second ``at``."""
 
     at: float
     holder: str
@@ -50,15 +52,15 @@
 
 
 class World:
-    """Instances and engines; ``run`` lets virtual time pass."""
+    """Simulated instances and engines; ``run`` advances virtual time."""
 
     def __init__(self, domains, per_domain, seed=1):
         self.now = 0.0
-        self.obeyed = []
+        self.executed_orders = []
         self.store_rate = 0.0
-        self.most_loads = 0
+        self.max_concurrent_loads = 0
         self._heap = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._senders = {}
         self.reducers = {}
         self.engines = {}
@@ -91,22 +93,22 @@
         self.submit(name, events.Started(address))
 
     def engine(self, name, failure_domain, checks_fencing, models):
-        """Add an engine that has ``models`` (pairs with versions)."""
-        made = Engine(name, failure_domain, checks_fencing, set(models))
-        self.engines[name] = made
+        """Add an engine with ``models``, given as (name, version) pairs."""
+        engine = Engine(name, failure_domain, checks_fencing, set(models))
+        self.engines[name] = engine
 
-    def lose(self, name):
-        """Stop an instance for good."""
+    def stop_instance(self, name):
+        """Stop an instance permanently."""
         del self.reducers[name]
 
     def submit(self, name, event):
-        """Hand an event to an instance and carry out its effects."""
+        """Apply an event at an instance and execute the effects."""
         reducer = self.reducers.get(name)
         if reducer is not None:
-            self._carry_out(name, reducer.apply(event, self.now))
+            self._execute_effects(name, reducer.apply(event, self.now))
 
     def declare(self, name, kind, objects):
-        """Write objects of one kind through an instance."""
+        """Write objects of one kind through an instance, as one change."""
         operations = [
             changes.Operation(
                 changes.Verb.PUT,
@@ -116,19 +118,19 @@
             )
             for key, spec in objects.items()
         ]
-        change = changes.Change(f"op-{next(self._order)}", operations)
+        change = changes.Change(f"op-{next(self._sequence)}", operations)
         self.submit(name, events.WriteSubmitted("w", change))
 
     def run(self, seconds):
-        """Let virtual time pass."""
+        """Advance virtual time by ``seconds``."""
         end = self.now + seconds
         while self.now < end:
-            step = min(end, self.now + TICK)
+            step = min(end, self.now + TICK_SECONDS)
             self._deliver(step)
             self.now = step
-            self._engines_go_on()
+            self._advance_engines()
             for name, reducer in list(self.reducers.items()):
-                self._carry_out(name, reducer.tick(self.now))
+                self._execute_effects(name, reducer.tick(self.now))
 
     def _deliver(self, until):
         while self._heap and self._heap[0][0] <= until:
@@ -136,21 +138,21 @@
             self.now = max(self.now, at)
             self.submit(name, event)
 
-    def _later(self, name, event, delay=TRIP):
-        item = (self.now + delay, next(self._order), name, event)
+    def _schedule(self, name, event, delay=MESSAGE_DELAY_SECONDS):
+        item = (self.now + delay, next(self._sequence), name, event)
         heapq.heappush(self._heap, item)
 
-    def _carry_out(self, name, out):
-        for effect in out:
+    def _execute_effects(self, name, produced):
+        for effect in produced:
             if isinstance(effect, effects.SendPeer):
                 self._send(name, effect)
             elif isinstance(effect, (effects.AppendLog, effects.ReplaceLog)):
-                self._later(name, events.LogSynced(effect.ticket))
+                self._schedule(name, events.LogSynced(effect.ticket))
             elif isinstance(effect, effects.GiveOrder):
-                self._obey(name, effect)
+                self._execute_order(name, effect)
 
     def _send(self, name, effect):
-        """Pass a message on as the codec would: a copy, not the object."""
+        """Deliver a message via the codec: the receiver gets a copy."""
         self._senders[name].clock = self.now
         body = codec.encode(
             codec.Envelope(self._senders[name], [effect.message])
@@ -159,14 +161,16 @@
         received = events.PeerMessageReceived(
             envelope.sender, envelope.messages[0]
         )
-        self._later(self._address.get(effect.address, ""), received)
+        self._schedule(self._address.get(effect.address, ""), received)
 
-    def _obey(self, name, effect):
+    def _execute_order(self, name, effect):
         order = effect.order
         engine = self.engines[order.server]
         if not engine.alive:
             return
-        self.obeyed.append(Obeyed(self.now, name, order, effect.fencing))
+        self.executed_orders.append(
+            ExecutedOrder(self.now, name, order, effect.fencing)
+        )
         key = (order.model, order.version)
         if order.kind.value == "load":
             engine.loads.setdefault(key, 1.0)
@@ -175,22 +179,24 @@
         answer = events.OrderAnswered(
             order.key, effect.fencing, events.OrderAnswer.ACCEPTED
         )
-        self._later(name, answer)
+        self._schedule(name, answer)
 
-    def _engines_go_on(self):
-        """Load on, and announce once a second."""
+    def _advance_engines(self):
+        """Advance all loads; make every engine announce once a second."""
         loading = [item for item in self.engines.values() if item.loads]
         count = sum(len(item.loads) for item in loading)
-        self.most_loads = max(self.most_loads, count)
+        self.max_concurrent_loads = max(self.max_concurrent_loads, count)
         for engine in loading:
-            self._load_on(engine, TICK * self.store_rate / count)
-        if int(self.now / ANNOUNCE) != int((self.now - TICK) / ANNOUNCE):
+            self._advance_loads(engine, TICK_SECONDS * self.store_rate / count)
+        if int(self.now / ANNOUNCE_INTERVAL_SECONDS) != int(
+            (self.now - TICK_SECONDS) / ANNOUNCE_INTERVAL_SECONDS
+        ):
             for engine in self.engines.values():
                 self._announce(engine)
 
-    def _load_on(self, engine, part):
+    def _advance_loads(self, engine, progress):
         for key in list(engine.loads):
-            engine.loads[key] -= part
+            engine.loads[key] -= progress
             if engine.loads[key] <= 0:
                 del engine.loads[key]
                 engine.models.add(key)
@@ -199,7 +205,7 @@
         if not engine.alive or not self.reducers:
             return
         engine.sequence += 1
-        made = announcements.Announcement(
+        announcement = announcements.Announcement(
             engine.name,
             1,
             engine.sequence,
@@ -207,10 +213,10 @@
             "http://127.0.0.1:1",
             engine.failure_domain,
         )
-        made.checks_fencing = engine.checks_fencing
-        made.models = [
+        announcement.checks_fencing = engine.checks_fencing
+        announcement.models = [
             announcements.Model(*key) for key in sorted(engine.models)
         ]
         names = sorted(self.reducers)
         name = names[engine.sequence % len(names)]
-        self.submit(name, events.Announced(made))
+        self.submit(name, events.Announced(announcement))
--- a/bench/orders.py
+++ b/bench/orders.py
@@ -1,7 +1,7 @@
-"""Time without an order giver, and recovery of lost capacity.
+"""Failover time of the order giver, and recovery of lost capacity.
 
-Run as ``python -m bench.orders``.  All in virtual time, over the reducers
-that ``dandeliond`` runs; the figures are those of ``docs/design/orders.md``.
+Run: ``python -m bench.orders``.  It runs the reducers of ``dandeliond`` in
+virtual time and prints the figures of ``docs/design/orders.md``.
 """
 
 import statistics
@@ -12,10 +12,10 @@
 
 DOMAINS = ("fd1", "fd2", "fd3")
 SEEDS = (1, 2, 3, 4, 5)
-ENGINES = 20
-# One load alone takes this long: 100 GB of weights at 2 GB/s.
+ENGINE_COUNT = 20
+# Duration of a load without concurrent ones: 100 GB of weights at 2 GB/s.
 LOAD_SECONDS = 50.0
-LIMIT = 4000.0
+MAX_VIRTUAL_SECONDS = 4000.0
 POOLS = {
     "a-review": {"select": {"kind": "model_engine"}},
     "z-lookup": {"select": {"kind": "model_engine"}},
@@ -27,34 +27,35 @@
 
 
 def takeover(checks_fencing, seed):
-    """Return the seconds from the loss of a holder to the next order."""
+    """Return the seconds from the loss of the lease holder to an order."""
     world = order_world.World(DOMAINS, 2, seed)
     world.store_rate = 1.0
     world.run(5.0)
     world.engine("e1", "fd2", checks_fencing, [("small", "1")])
     placement = {"small": {"model": "small", "version": "2"}}
     world.declare("fd1-0", "modelplacements", placement)
-    wait_for(world, lambda: world.obeyed)
+    wait_for(world, lambda: world.executed_orders)
     lost_at = world.now
-    world.lose(world.obeyed[0].holder)
+    world.stop_instance(world.executed_orders[0].holder)
     placement["small"]["version"] = "3"
     world.declare("fd1-0", "modelplacements", placement)
-    count = len(world.obeyed)
-    wait_for(world, lambda: len(world.obeyed) > count)
-    return world.obeyed[-1].at - lost_at
+    count = len(world.executed_orders)
+    wait_for(world, lambda: len(world.executed_orders) > count)
+    return world.executed_orders[-1].at - lost_at
 
 
-def wait_for(world, holds):
-    """Run until ``holds()`` is true or the limit is reached."""
-    while not holds() and world.now < LIMIT:
+def wait_for(world, condition):
+    """Run until ``condition()`` is true or the time limit is reached."""
+    while not condition() and world.now < MAX_VIRTUAL_SECONDS:
         world.run(0.1)
 
 
 def recovery(budget, seed):
-    """Return when each model is served again after a domain came back cold.
+    """Return the recovery times of a failure domain without loaded models.
 
-    The domain has 20 engines; eight copies of the protected model and
-    eight of the other are declared for it.
+    The domain has 20 engines; eight copies of a protected model and eight of
+    another one are declared.  Returns a mapping from model to the seconds
+    until 1 and 8 copies are loaded, and the maximum of concurrent loads.
     """
     world = order_world.World(DOMAINS, 2, seed)
     world.store_rate = 1.0 / LOAD_SECONDS
@@ -64,25 +65,25 @@
     world.declare("fd1-0", "backendpools", POOLS)
     world.declare("fd1-0", "requestclasses", CLASSES)
     world.declare("fd1-0", "modelplacements", _placements())
-    for number in range(ENGINES):
+    for number in range(ENGINE_COUNT):
         world.engine(f"e{number:02}", "fd2", True, [])
     began = world.now
-    done = {}
+    reached = {}
     for model in ("a-review", "z-lookup"):
-        done[model] = {}
-    while world.now < LIMIT and not _all_done(done):
+        reached[model] = {}
+    while world.now < MAX_VIRTUAL_SECONDS and not _all_recovered(reached):
         world.run(1.0)
-        for model, held in done.items():
+        for model, reached_at in reached.items():
             count = _copies(world, model)
             for wanted in (1, 8):
                 if count >= wanted:
-                    held.setdefault(wanted, world.now - began)
-    return done, world.most_loads
+                    reached_at.setdefault(wanted, world.now - began)
+    return reached, world.max_concurrent_loads
 
 
 def _placements():
-    # The protected placement is the one of a pool that only lookups use;
-    # by its name alone it would come last.
+    # The protected placement is in the pool that only the lookup class uses.
+    # Its name sorts last, so that it comes first only if it is protected.
     return {
         name: {
             "model": name,
@@ -107,8 +108,8 @@
     )
 
 
-def _all_done(done):
-    return all(8 in held for held in done.values())
+def _all_recovered(reached):
+    return all(8 in reached_at for reached_at in reached.values())
 
 
 def main():
@@ -125,11 +126,12 @@
     print("| budget | most loads | model | first copy, s | all 8, s |")
     print("| --- | --- | --- | --- | --- |")
     for budget in (1, 2, 4, 1000):
-        done, most = recovery(budget, 1)
-        for model, held in done.items():
+        reached, max_loads = recovery(budget, 1)
+        for model, reached_at in reached.items():
             print(
-                f"| {budget} | {most} | {model} |"
-                f" {held.get(1, LIMIT):.0f} | {held.get(8, LIMIT):.0f} |"
+                f"| {budget} | {max_loads} | {model} |"
+                f" {reached_at.get(1, MAX_VIRTUAL_SECONDS):.0f} |"
+                f" {reached_at.get(8, MAX_VIRTUAL_SECONDS):.0f} |"
             )
 
 
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,12 +1,12 @@
-"""What a relayed event and a request cost, against a bare proxy.
+"""CPU cost of a relayed request and event, compared with a bare proxy.
 
-Engine, proxy and load are processes of their own; the proxy's processor
-time is read from the kernel.  Long streams give the cost of an event, short
-ones that of a request, as the slope and the start of one line fitted
-through them.  What the instance spends without any request is taken off:
-it is the cost of control and has a page of its own (docs/CAPACITY.md).
-Bare proxy and instance take turns within one run, so that what else the
-machine does falls on both.
+Engine, proxy and load generator are separate processes; the proxy's CPU time
+is read from the kernel.  A line is fitted through the CPU time per request
+over the stream length: its intercept is the cost of a request, its slope the
+cost of an event.  The CPU time of the idle instance is subtracted: it is the
+cost of the control plane, which docs/CAPACITY.md covers.  Bare proxy and
+instance are measured alternately in one run, so that other load on the host
+affects both.
 
 Run: ``.venv/bin/python -m bench.relay``.
 """
@@ -30,18 +30,18 @@
 from dandeliontrail_lab import processes  # noqa: E402
 import gevent  # noqa: E402
 
-ROUNDS = 3
-SECONDS = 5.0
-PER_SECOND = 20.0
-TOKENS = (1, 100, 300)
+ROUND_COUNT = 3
+MEASURE_SECONDS = 5.0
+REQUESTS_PER_SECOND = 20.0
+TOKEN_COUNTS = (1, 100, 300)
 SLOTS = 512
-STEP = 0.01
-MICROSECONDS = 1e6
+STEP_SECONDS = 0.01
+MICROSECONDS_PER_SECOND = 1e6
 KEY = "bench-key"
 
 
 class Subject:
-    """One of the two that are measured."""
+    """A process under test: the bare proxy or the instance."""
 
     def __init__(self, name, pid, address):
         self.name = name
@@ -50,27 +50,27 @@
         self.idle_share = 0.0
 
     def measure_idle(self):
-        """Find what it costs without any request; that is not a relay's."""
+        """Measure the CPU share without requests, which is not relay cost."""
         before = proc.cpu_seconds(self.pid)
-        gevent.sleep(SECONDS)
-        used = proc.cpu_seconds(self.pid) - before
-        self.idle_share = used / SECONDS
+        gevent.sleep(MEASURE_SECONDS)
+        cpu_used = proc.cpu_seconds(self.pid) - before
+        self.idle_share = cpu_used / MEASURE_SECONDS
 
     def measure(self, tokens):
-        """Return processor seconds, bytes grown and what the load saw."""
+        """Return the CPU seconds, the memory growth in bytes, the result."""
         ask = client.Ask(
             self.address, KEY, "lookup", "x" * 400, max_tokens=tokens
         )
         before = proc.cpu_seconds(self.pid)
-        held = proc.rss_bytes(self.pid)
-        result = load.Load(ask).run(PER_SECOND, SECONDS)
-        used = proc.cpu_seconds(self.pid) - before
-        used -= self.idle_share * result.seconds
-        return used, proc.rss_bytes(self.pid) - held, result
+        rss_before = proc.rss_bytes(self.pid)
+        result = load.Load(ask).run(REQUESTS_PER_SECOND, MEASURE_SECONDS)
+        cpu_used = proc.cpu_seconds(self.pid) - before
+        cpu_used -= self.idle_share * result.seconds
+        return cpu_used, proc.rss_bytes(self.pid) - rss_before, result
 
 
 def start_engine(stack):
-    """Start the engine that both relay to; return it as a lab object."""
+    """Start the engine that both subjects relay to; return its process."""
     process = subprocess.Popen(
         [sys.executable, "-m", "bench.relay", "engine"],
         stdout=subprocess.PIPE,
@@ -82,8 +82,8 @@
 
 
 def serve_engine():
-    """Be the engine: print the URL, read addresses, announce."""
-    pace = batch.Pace(step=STEP, step_per_stream=0.0, prefill=0.0)
+    """Run the engine: print its URL, read an address and announce to it."""
+    pace = batch.Pace(step=STEP_SECONDS, step_per_stream=0.0, prefill=0.0)
     served = engine.Engine("e1", "fd1", ["small"], SLOTS, pace)
     served.start()
     print(served.url, flush=True)
@@ -91,7 +91,7 @@
 
 
 def start_bare(stack, url):
-    """Start the bare proxy."""
+    """Start the bare proxy in front of the engine at ``url``."""
     process = subprocess.Popen(
         [sys.executable, "-m", "bench.bare_proxy", url],
         stdout=subprocess.PIPE,
@@ -103,7 +103,7 @@
 
 
 def start_instance(stack, engine_process):
-    """Start one instance that knows the engine."""
+    """Start one instance and have the engine announce to it."""
     deployment = stack.enter_context(processes.Deployment(["i1"], ["fd1"]))
     running = deployment.instances[0]
     address = running.addresses["backend_servers"]
@@ -122,13 +122,13 @@
 
 
 def slope(points):
-    """Return (start, slope) of the least-squares line through points."""
-    found = statistics.linear_regression(*zip(*points))
-    return found.intercept, found.slope
+    """Return (intercept, slope) of the least-squares line."""
+    fit = statistics.linear_regression(*zip(*points))
+    return fit.intercept, fit.slope
 
 
 def report(subject, rounds):
-    """Print the figures of one subject; return (request, event) costs."""
+    """Print the costs of one subject; return those of (request, event)."""
     costs = [slope(points) for points in rounds]
     request = statistics.median(item[0] for item in costs)
     event = statistics.median(item[1] for item in costs)
@@ -141,7 +141,7 @@
 
 
 def run():
-    """Measure both and print the table."""
+    """Measure both subjects and print the results."""
     with contextlib.ExitStack() as stack:
         engine_process = start_engine(stack)
         url = engine_process.stdout.readline().strip()
@@ -151,9 +151,9 @@
             subject.measure_idle()
             print(f"  {subject.name:12} {subject.idle_share:6.1%} idle")
         rounds = {subject.name: [] for subject in subjects}
-        for number in range(ROUNDS + 1):
+        for number in range(ROUND_COUNT + 1):
             for subject in subjects:
-                points = _round(subject)
+                points = _measure_round(subject)
                 # The first round warms up connections and memory.
                 if number:
                     rounds[subject.name].append(points)
@@ -163,18 +163,18 @@
     print(f"             {event / bare_event:8.2f} an event")
 
 
-def _round(subject):
+def _measure_round(subject):
     points = []
-    for tokens in TOKENS:
-        used, grown, result = subject.measure(tokens)
+    for tokens in TOKEN_COUNTS:
+        cpu_used, rss_growth, result = subject.measure(tokens)
         assert result.complete == result.sent, (subject.name, result)
-        each = used / result.sent * MICROSECONDS
-        points.append((tokens, each))
-        share = used / result.seconds
+        cpu_us_per_request = cpu_used / result.sent * MICROSECONDS_PER_SECOND
+        points.append((tokens, cpu_us_per_request))
+        share = cpu_used / result.seconds
         print(
             f"  {subject.name:12} {tokens:4} tokens"
             f" {result.events / result.seconds:7.0f} events/s"
-            f" {share:6.1%} of a core, {grown / 1024:6.0f} KiB grown,"
+            f" {share:6.1%} of a core, {rss_growth / 1024:6.0f} KiB grown,"
             f" {result.bytes / max(1, result.events):4.0f} bytes an event"
         )
     return points
--- a/bench/server_ends.py
+++ b/bench/server_ends.py
@@ -1,9 +1,9 @@
-"""What it costs that instances tell one another of ended servers.
+"""Cost of exchanging reports of ended servers between instances.
 
-Servers end one a second, each under 30 requests that it had not answered,
-sent by as many instances; then they are served elsewhere.  Printed are, for
-12 and 200 instances without sockets, the bytes that an instance sends of it a
-second, beside all that it sends, and the memory of the table at the end.
+One server per second ends with 30 unanswered requests, each sent by a random
+instance; then the requests are served elsewhere.  For 12 and 200 simulated
+instances without sockets, this prints the bytes per second that an instance
+sends for these reports and in total, and the memory of the table at the end.
 
     python -m bench.server_ends
 """
@@ -14,40 +14,42 @@
 
 from tests.common import crash_news
 
-SECONDS = 10
-REQUESTS = 30
+DURATION_SECONDS = 10
+REQUESTS_PER_SERVER = 30
 
 
 def measure(count):
-    """Print the cost at ``count`` instances."""
+    """Print the cost with ``count`` instances."""
     news = crash_news.CrashNews(count, count_bytes=True)
     rng = random.Random(1)
     for node in news.nodes:
         node.by_kind.clear()
         node.cost.bytes = 0
     tracemalloc.start()
-    for second in range(SECONDS):
-        under = [f"{second}-{number}" for number in range(REQUESTS)]
-        for fingerprint in under:
+    for second in range(DURATION_SECONDS):
+        fingerprints = [
+            f"{second}-{number}" for number in range(REQUESTS_PER_SERVER)
+        ]
+        for fingerprint in fingerprints:
             news.ended(rng.choice(news.nodes), fingerprint, f"s{second}")
         news.net.run(0.5)
-        for fingerprint in under:
+        for fingerprint in fingerprints:
             news.served(rng.choice(news.nodes), fingerprint)
         news.net.run(0.5)
-    held, _ = tracemalloc.get_traced_memory()
+    allocated, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    kinds = ("EndedServers", "EndsRecords", "SyncBuckets", "SyncKeys")
+    message_types = ("EndedServers", "EndsRecords", "SyncBuckets", "SyncKeys")
     sent = [
-        sum(node.by_kind[kind] for kind in kinds) / SECONDS
+        sum(node.by_kind[kind] for kind in message_types) / DURATION_SECONDS
         for node in news.nodes
     ]
-    whole = [node.cost.bytes / SECONDS for node in news.nodes]
+    total_sent = [node.cost.bytes / DURATION_SECONDS for node in news.nodes]
     records = len(news.nodes[0].state.ends.suspects)
     print(
         f"{count} instances: mean {sum(sent) / count:,.0f} B/s of"
-        f" {sum(whole) / count:,.0f}, most {max(sent):,.0f} of"
-        f" {max(whole):,.0f}; {records} records, about"
-        f" {held / count / records:,.0f} B each"
+        f" {sum(total_sent) / count:,.0f}, most {max(sent):,.0f} of"
+        f" {max(total_sent):,.0f}; {records} records, about"
+        f" {allocated / count / records:,.0f} B each"
     )
 
 
--- a/tools/sort_imports.py
+++ b/tools/sort_imports.py
@@ -1,39 +1,41 @@
-"""Sorts blocks of import lines as hacking's H306 compares them.
+"""Sorts blocks of import lines in the order that hacking's H306 checks.
 
-``from a import b`` counts as ``a.b``, and case does not matter.  No sorter
-at hand has this order, so ``make format`` runs this short one.
+``from a import b`` is compared as ``a.b``, ignoring case.  None of the
+formatters in use supports this order, so ``make format`` runs this script.
 """
 
 import pathlib
 import re
 import sys
 
-IMPORT = re.compile(r"(?:from (\S+) )?import (\S+)( as \S+)?(\s+# noqa.*)?")
+IMPORT_LINE = re.compile(
+    r"(?:from (\S+) )?import (\S+)( as \S+)?(\s+# noqa.*)?"
+)
 
 
 def sort_key(line):
-    """Return what H306 compares of an import line."""
-    found = IMPORT.fullmatch(line)
-    parts = [part for part in (found[1], found[2]) if part]
+    """Return the text of an import line that H306 compares."""
+    match = IMPORT_LINE.fullmatch(line)
+    parts = [part for part in (match[1], match[2]) if part]
     return ".".join(parts).lower()
 
 
 def sort_text(text):
     """Return ``text`` with each block of import lines sorted."""
-    out = []
+    sorted_lines = []
     block = []
     for line in text.split("\n"):
-        if IMPORT.fullmatch(line):
+        if IMPORT_LINE.fullmatch(line):
             block.append(line)
             continue
-        out.extend(sorted(block, key=sort_key))
+        sorted_lines.extend(sorted(block, key=sort_key))
         block = []
-        out.append(line)
-    return "\n".join(out)
+        sorted_lines.append(line)
+    return "\n".join(sorted_lines)
 
 
 def main(folders):
-    """Sort every Python file below ``folders`` in place."""
+    """Sort the imports of every Python file below ``folders``, in place."""
     for folder in folders:
         for path in sorted(pathlib.Path(folder).rglob("*.py")):
             text = path.read_text()
