--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/client.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/client.py
@@ -65,7 +65,7 @@
     message: Delta = msgspec.field(default_factory=Delta)
 
 
-class ErrorView(msgspec.Struct):
+class ErrorDetails(msgspec.Struct):
     """The error object of a response."""
 
     code: str = ""
@@ -76,7 +76,7 @@
     """The body of a stream event, a complete answer or an error."""
 
     choices: list[Choice] = []
-    error: ErrorView | None = None
+    error: ErrorDetails | None = None
 
 
 def send(ask):
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/engine.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/engine.py
@@ -33,7 +33,7 @@
     content: str
 
 
-class Ask(msgspec.Struct):
+class GenerationRequest(msgspec.Struct):
     """The fields of a generation request that the simulated engine reads."""
 
     model: str
@@ -133,7 +133,7 @@
 
     def _generate(self, environ, start_response):
         body = environ["wsgi.input"].read()
-        ask = msgspec.json.decode(body, type=Ask)
+        ask = msgspec.json.decode(body, type=GenerationRequest)
         request_id = environ.get("HTTP_X_REQUEST_ID") or str(random.random())
         prompt_tokens = len(body) // BYTES_PER_TOKEN
         stream = batch.Stream(
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/paths.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/paths.py
@@ -58,9 +58,9 @@
 
     def cut(self):
         """Close both sockets of every open connection."""
-        for number, one, other in self._open_connections:
-            one.close()
-            other.close()
+        for number, client_sock, server_sock in self._open_connections:
+            client_sock.close()
+            server_sock.close()
 
     def _serve(self, sock, address):
         self.connections += 1
