--- a/bench/nine.py
+++ b/bench/nine.py
@@ -100,7 +100,7 @@
     deadline = time.monotonic() + seconds
     while not condition():
         if time.monotonic() > deadline:
-            raise RuntimeError("the condition was not met in time")
+            raise RuntimeError("waited in vain")
         gevent.sleep(0.02)
 
 
