--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/members_costs.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/members_costs.py
@@ -17,10 +17,12 @@
 from dandeliontrail import events
 from dandeliontrail.resources import announcements
 
-from . import pure_nodes
+from . import simulated_nodes
 
 DAY = "2026-03-14"
-TICK_SECONDS = pure_nodes.STEPS_PER_TICK / pure_nodes.STEPS_PER_SECOND
+TICK_SECONDS = (
+    simulated_nodes.STEPS_PER_TICK / simulated_nodes.STEPS_PER_SECOND
+)
 
 
 @dataclasses.dataclass(slots=True)
@@ -73,7 +75,7 @@
     def __init__(self, mix, seed=0, count_bytes=True):
         self.mix = mix
         self.rng = random.Random(seed)
-        self.net = pure_nodes.Network(seed, count_bytes=count_bytes)
+        self.net = simulated_nodes.Network(seed, count_bytes=count_bytes)
         self._sequence = 0
         self._pending_requests = 0.0
         self._tenth_of_second = 0
@@ -168,7 +170,7 @@
     def reset(self):
         """Reset the cost counters of all nodes."""
         for node in self.nodes:
-            node.cost = pure_nodes.Cost()
+            node.cost = simulated_nodes.Cost()
             node.by_kind.clear()
 
     def split(self):
@@ -355,7 +357,7 @@
 
 
 def _bytes_per_item(add_items, count):
-    state = pure_nodes.Network().add("i0").state
+    state = simulated_nodes.Network().add("i0").state
     add_items(state, 10)
     tracemalloc.start()
     add_items(state, count)
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/disk_writer.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/disk_writer.py
@@ -14,7 +14,7 @@
 from dandeliontrail import effects
 from dandeliontrail import events
 
-from . import patient_writes
+from . import retrying_writer
 
 
 class DiskWriter:
@@ -27,7 +27,7 @@
         self._has_work = gevent_event.Event()
         self._greenlet = gevent.spawn(self._write_forever)
         # One write at a time, so that writes are not reordered.
-        self._writer = patient_writes.RetryingWriter(storage, logger)
+        self._writer = retrying_writer.RetryingWriter(storage, logger)
 
     def put(self, effect):
         """Queue an ``AppendLog`` or ``ReplaceLog``.
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/instance.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/instance.py
@@ -26,10 +26,10 @@
 from . import http_server
 from . import listener_tls
 from . import metrics
-from . import patient_writes
 from . import peer_link
+from . import retrying_writer
 from . import settings
-from . import standard_face
+from . import standard_listeners
 from . import tokens
 from . import usage_disk
 from . import wsgi
@@ -44,13 +44,13 @@
     """One instance, running between ``__enter__`` and ``__exit__``.
 
     ``face`` provides the listeners beside the peer listener; by default it is
-    :class:`.standard_face.StandardFace`.  Without ``settings_path``, SIGHUP
+    :class:`.standard_listeners.StandardFace`.  Without ``settings_path``, SIGHUP
     does not reload the log level.
     """
 
     def __init__(self, cfg, logger, settings_path=None, face=None):
         self._cfg = cfg
-        self._face = face or standard_face.StandardFace()
+        self._face = face or standard_listeners.StandardFace()
         self._settings_path = settings_path
         self._logger = logger
         self._stack = contextlib.ExitStack()
@@ -131,7 +131,7 @@
         if keeper is None:
             return None
         path = pathlib.Path(keeper.data_dir) / folder
-        storage = patient_writes.open_when_writable(
+        storage = retrying_writer.open_when_writable(
             lambda: disk.FileStorage(path), self._logger
         )
         self._stack.callback(storage.close)
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/usage_disk.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/usage_disk.py
@@ -16,7 +16,7 @@
 from dandeliontrail import effects
 from dandeliontrail import events
 
-from . import patient_writes
+from . import retrying_writer
 
 _ENTRY_DECODER = msgspec.json.Decoder(
     typing.Union[usage.UsageRows, usage.UsageCheckpoint]
@@ -30,7 +30,7 @@
     def __init__(self, storage, logger):
         self._storage = storage
         self._logger = logger
-        self._writer = patient_writes.RetryingWriter(storage, logger)
+        self._writer = retrying_writer.RetryingWriter(storage, logger)
         self._queue = queue.SimpleQueue()
         self._greenlet = gevent.spawn(self._write_forever)
 
--- a/tests/common/crash_news.py
+++ b/tests/common/crash_news.py
@@ -4,14 +4,14 @@
 
 from dandeliontrail.components import server_ends
 from dandeliontrail import events
-from dandeliontrail_lab import pure_nodes
+from dandeliontrail_lab import simulated_nodes
 
 
 class CrashNews:
     """``count`` instances in three failure domains, all discovered."""
 
     def __init__(self, count, seed=1, **options):
-        self.net = pure_nodes.Network(seed, **options)
+        self.net = simulated_nodes.Network(seed, **options)
         for number in range(count):
             self.net.add(f"i{number:03}", f"fd{number % 3}")
         self.nodes = list(self.net.nodes.values())
--- a/tests/common/duty_world.py
+++ b/tests/common/duty_world.py
@@ -16,7 +16,7 @@
 from dandeliontrail.coordination import quorum_log_records as records
 from dandeliontrail import effects
 from dandeliontrail import events
-from dandeliontrail_lab import pure_nodes
+from dandeliontrail_lab import simulated_nodes
 
 from tests.common import quorum_world
 
@@ -72,7 +72,7 @@
             )
 
 
-class DutyNetwork(pure_nodes.Network):
+class DutyNetwork(simulated_nodes.Network):
     """Keepers and counting instances, with fault injection.
 
     ``counters_per_domain`` is how many instances count in each failure domain.
--- a/tests/common/usage_nodes.py
+++ b/tests/common/usage_nodes.py
@@ -2,7 +2,7 @@
 
 from dandeliontrail.coordination import usage
 from dandeliontrail import events
-from dandeliontrail_lab import pure_nodes
+from dandeliontrail_lab import simulated_nodes
 
 DAY = "2026-03-14"
 
@@ -14,7 +14,7 @@
 
 
 def nine_instances(**options):
-    network = pure_nodes.Network(**options)
+    network = simulated_nodes.Network(**options)
     for index in range(9):
         node = network.add(f"i{index}", f"fd{index // 3}")
         network.apply(node, events.DayBegan(DAY))
--- a/tests/cover/test_disk_comes_back.py
+++ b/tests/cover/test_disk_comes_back.py
@@ -3,7 +3,7 @@
 import logging
 
 from dandeliontrail_node import disk
-from dandeliontrail_node import patient_writes
+from dandeliontrail_node import retrying_writer
 import gevent
 import pytest
 
@@ -147,7 +147,7 @@
     full = FullDisk(monkeypatch)
     full.full = True
     starting = gevent.spawn(
-        patient_writes.open_when_writable,
+        retrying_writer.open_when_writable,
         lambda: disk.FileStorage(tmp_path),
         logging.getLogger("test"),
     )
@@ -163,7 +163,7 @@
     # SIGTERM arrives while a write is refused: the process must not wait for
     # the disk beyond its grace period.
     storage = disk.FileStorage(tmp_path)
-    writer = patient_writes.RetryingWriter(storage, logging.getLogger("test"))
+    writer = retrying_writer.RetryingWriter(storage, logging.getLogger("test"))
     full = FullDisk(monkeypatch)
     full.full = True
     writing = gevent.spawn(writer.execute, storage.append, ([b"1"],))
--- a/tests/cover/test_members.py
+++ b/tests/cover/test_members.py
@@ -3,13 +3,13 @@
 from dandeliontrail.coordination import member_records
 from dandeliontrail.coordination import messages
 from dandeliontrail import events
-from dandeliontrail_lab import pure_nodes
+from dandeliontrail_lab import simulated_nodes
 
 Standing = member_records.Standing
 
 
 def make_network(**options):
-    network = pure_nodes.Network(**options)
+    network = simulated_nodes.Network(**options)
     for index in range(9):
         network.add(f"i{index}", f"fd{index // 3}")
     network.run(5.0)
@@ -171,7 +171,7 @@
 
 
 def test_fifty_instances_agree_over_few_links_and_loss():
-    network = pure_nodes.Network(seed=7, loss=0.05)
+    network = simulated_nodes.Network(seed=7, loss=0.05)
     for index in range(50):
         network.add(f"i{index}", f"fd{index % 5}")
     network.run(15.0)
--- a/tests/cover/test_partitions.py
+++ b/tests/cover/test_partitions.py
@@ -10,7 +10,7 @@
 
 from dandeliontrail.coordination import servers
 from dandeliontrail.resources import announcements
-from dandeliontrail_lab import pure_nodes
+from dandeliontrail_lab import simulated_nodes
 
 from tests.common import usage_nodes
 
@@ -33,7 +33,7 @@
 
     @stateful.initialize(seed=st.integers(0, 1000))
     def begin(self, seed):
-        self.net = pure_nodes.Network(seed)
+        self.net = simulated_nodes.Network(seed)
         for index, name in enumerate(NAMES):
             usage_nodes.start_instance(self.net, name, f"fd{index // 2}", 1)
         self.starts = 1
--- a/tests/cover/test_server_records.py
+++ b/tests/cover/test_server_records.py
@@ -6,7 +6,7 @@
 
 from dandeliontrail.coordination import servers
 from dandeliontrail.resources import announcements
-from dandeliontrail_lab import pure_nodes
+from dandeliontrail_lab import simulated_nodes
 
 
 def announcement(epoch=1, sequence=1, name="e1", **fields):
@@ -162,7 +162,7 @@
 
 
 def nine_instances(**options):
-    network = pure_nodes.Network(**options)
+    network = simulated_nodes.Network(**options)
     for index in range(9):
         skew = 1000.0 * index
         network.add(f"i{index}", f"fd{index // 3}", skew=skew)
