--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/live.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/live.py
@@ -267,7 +267,7 @@
     sent = counters.get("peer_sent_bytes_total", 0.0)
     return (
         proc.cpu_seconds(item.process.pid),
-        sent + batches * peer_link.OVERHEAD_BYTES,
+        sent + batches * peer_link.HTTP_OVERHEAD_BYTES,
         batches,
         float(proc.rss_bytes(item.process.pid)),
     )
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/channel.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/channel.py
@@ -69,7 +69,7 @@
         if self._queue.empty():
             self._queue.put_nowait(_WAKE_UP)
 
-    def end_with(self, failure):
+    def fail(self, failure):
         """Make ``failure`` the next item, ahead of any that is waiting."""
         self._override = failure
         if self._queue.empty():
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/drain.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/drain.py
@@ -55,7 +55,7 @@
         with gevent.Timeout(self._limits.drain_seconds, False):
             self._wait_for_balancer()
             self.refusing = True
-            while host.open_exchanges() and not self.end_at_once:
+            while host.open_exchange_count() and not self.end_at_once:
                 gevent.sleep(POLL_SECONDS)
         self.refusing = True
         self._end_remaining(host)
@@ -71,5 +71,5 @@
         for exchange in host.exchanges():
             host.submit(events.CutShort(exchange.request_id))
         with gevent.Timeout(self._limits.last_words_seconds, False):
-            while host.open_exchanges():
+            while host.open_exchange_count():
                 gevent.sleep(POLL_SECONDS)
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/exchange.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/exchange.py
@@ -32,7 +32,7 @@
         """Put an effect into the mailbox."""
         self._mailbox.put(effect)
 
-    def fault(self):
+    def report_reducer_failure(self):
         """Tell the worker that the reducer failed and sends nothing more."""
         self._mailbox.put(ReducerFault(self.request_id))
 
@@ -49,7 +49,7 @@
         if self.worker is not None:
             self.worker.kill(block=False)
 
-    def end_with(self, problem):
+    def fail(self, problem):
         """Send ``problem`` to the caller now and kill the worker."""
-        self.channel.end_with(channel_module.Failure(problem))
+        self.channel.fail(channel_module.Failure(problem))
         self.abandon()
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/attempt.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/attempt.py
@@ -142,7 +142,7 @@
             # request must not be sent.
             self.close()
             raise Superseded()
-        life = context.host.life(incoming.request_id)
+        life = context.host.request_lifecycle(incoming.request_id)
         context.host.submit(
             events.AttemptBegan(incoming.request_id, dispatch.attempt)
         )
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/exchange.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/exchange.py
@@ -33,17 +33,17 @@
         """Put an effect into the mailbox."""
         self._mailbox.put(effect)
 
-    def fault(self):
+    def report_reducer_failure(self):
         """Tell the greenlet that the reducer failed on this request."""
         self._mailbox.put(None)
 
     def get(self):
-        """Wait for the next effect; ``None`` after a fault."""
+        """Wait for the next effect; ``None`` if the reducer failed."""
         return self._mailbox.get()
 
     def abandon(self):
         """Do nothing: the greenlet itself reported that the caller left."""
 
-    def end_with(self, problem):
+    def fail(self, problem):
         """Interrupt the greenlet so that the caller gets ``problem``."""
         self._greenlet.kill(CutOff(problem), block=False)
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/forwarder.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/forwarder.py
@@ -141,7 +141,7 @@
         A request that arrived before the instance had recovered its state
         has no deadline yet; the instance limits that wait separately.
         """
-        life = self._host.life(self._incoming.request_id)
+        life = self._host.request_lifecycle(self._incoming.request_id)
         if life is None or self._deadline:
             return
         seconds = life.work.deadline - self._host.clock.now()
@@ -183,7 +183,7 @@
         return problems.internal_problem(request_id)
 
     def _report_overdue(self):
-        life = self._host.life(self._incoming.request_id)
+        life = self._host.request_lifecycle(self._incoming.request_id)
         begun = life is not None and life.begun > 0
         self._host.submit(events.Overdue(self._incoming.request_id))
         return problems.deadline(self._incoming.request_id, begun)
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/host.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/host.py
@@ -134,7 +134,7 @@
         finally:
             self._applying = False
 
-    def take_in(self, envelope):
+    def receive_batch(self, envelope):
         """Submit every message of a batch from another instance."""
         for message in envelope.messages:
             self.submit(events.PeerMessageReceived(envelope.sender, message))
@@ -161,7 +161,7 @@
         self.logger.error("event failed", extra=fields, exc_info=exc)
         exchange = self._exchanges.get(getattr(event, "request_id", None))
         if exchange:
-            exchange.fault()
+            exchange.report_reducer_failure()
 
     def _execute(self, emitted):
         for effect in emitted:
@@ -199,7 +199,7 @@
                 TICK_SECONDS if at_normal_rate else START_TICK_SECONDS
             )
 
-    def life(self, request_id):
+    def request_lifecycle(self, request_id):
         """Return the state of a request that has not ended, or ``None``."""
         return self.reducer.lives.get(request_id)
 
@@ -209,7 +209,7 @@
         The request may have ended, or the attempt may have been abandoned,
         since the reducer decided on the dispatch.
         """
-        life = self.life(dispatch.request_id)
+        life = self.request_lifecycle(dispatch.request_id)
         return life is not None and life.has_attempt(dispatch.attempt)
 
     def attach(self, exchange):
@@ -226,7 +226,7 @@
         """Return the exchanges of all requests in progress."""
         return list(self._exchanges.values())
 
-    def open_exchanges(self):
+    def open_exchange_count(self):
         """Return the number of requests in progress."""
         return len(self._exchanges)
 
@@ -255,7 +255,7 @@
     def _cut_off(self, effect):
         exchange = self._exchanges.get(effect.refusal.request_id)
         if exchange:
-            exchange.end_with(problems.problem_of(effect.refusal))
+            exchange.fail(problems.problem_of(effect.refusal))
 
     def _cancel(self, effect):
         gevent.spawn(self._engines.cancel, effect.url, effect.request_id)
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/instance.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/instance.py
@@ -110,7 +110,7 @@
             registry,
             self._logger,
         )
-        link.take_in = self.host.take_in
+        link.receive_batch = self.host.receive_batch
         if storage:
             writer = disk_writer.DiskWriter(
                 storage, self.host.submit, self._logger
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/peers.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/peers.py
@@ -57,8 +57,8 @@
                 "run the same release on every instance",
             )
         self._link.count_received(len(body), envelope, left_out)
-        self._link.take_in(envelope)
+        self._link.receive_batch(envelope)
         if not environ.get(ACCEPTS_ANSWERS_ENVIRON_KEY):
             return wsgi.reply(start_response, 200, b"{}", [wsgi.JSON])
-        body, headers = self._link.answer(envelope.sender.address)
+        body, headers = self._link.take_answer(envelope.sender.address)
         return wsgi.reply(start_response, 200, body, headers.items())
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/resource_views.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/resource_views.py
@@ -359,7 +359,7 @@
         state.identity.instance,
         state.identity.failure_domain,
         state.store.version,
-        host.open_exchanges(),
+        host.open_exchange_count(),
         host.waiting(),
         len(state.registry.serving(now)),
         len(state.registry.servers),
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/peer_link.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/peer_link.py
@@ -33,12 +33,12 @@
 MAX_ANSWER_TIMEOUT_SECONDS = 2.0
 LATENCY_WEIGHT = 0.2
 # Assumed minimum throughput, in bytes per second, of a shared link.
-SLOW_LINK_BYTES = 100_000.0
+MIN_LINK_BYTES_PER_SECOND = 100_000.0
 # An unused outbox, whose instance is gone, is closed after this time.
 IDLE_TIMEOUT_SECONDS = 30.0
 # Approximate size of the HTTP headers of a batch and its answer; counted
 # against the byte budget.
-OVERHEAD_BYTES = 330
+HTTP_OVERHEAD_BYTES = 330
 FAILURES = (*peer_connection.FAILURES, packing.BadBatch)
 
 
@@ -74,8 +74,8 @@
     ``counters`` receives the ``peer_*`` counts.  ``bytes_per_second`` is the
     budget over all addresses; beyond it :mod:`.outbox` sheds messages.
     ``new_context`` returns the TLS context of a new connection, or ``None``
-    for plain TCP.  ``take_in`` is called with each envelope that arrives in
-    an answer.
+    for plain TCP.  ``receive_batch`` is called with each envelope that arrives
+    in an answer.
     """
 
     def __init__(
@@ -93,7 +93,7 @@
         self.counters = counters
         self.new_context = new_context
         self.budget = ByteBudget(bytes_per_second, clock.now())
-        self.take_in = lambda envelope: None
+        self.receive_batch = lambda envelope: None
         self._senders = {}
 
     def send(self, address, message):
@@ -104,7 +104,7 @@
             self._senders[address] = sender
         sender.put(message)
 
-    def answer(self, address):
+    def take_answer(self, address):
         """Return the body and headers of the answer to a batch.
 
         The body contains the messages queued for ``address``, from which the
@@ -132,7 +132,7 @@
         except msgspec.DecodeError as exc:
             raise packing.BadBatch(f"the answer is not a valid batch: {exc}")
         self.count_received(len(body), *found)
-        self.take_in(found[0])
+        self.receive_batch(found[0])
 
     def count_received(self, size, envelope, unknown_count):
         """Count a received batch, sent separately or in an answer.
@@ -165,7 +165,7 @@
         }
         if encoding:
             headers["Content-Encoding"] = encoding
-        self.budget.spend(len(body) + OVERHEAD_BYTES)
+        self.budget.spend(len(body) + HTTP_OVERHEAD_BYTES)
         self.counters["peer_sent_bytes_total"] += len(body)
         self.counters["peer_sent_messages_total"] += len(batch)
         self.counters["peer_sent_batches_total"] += 1
@@ -259,7 +259,7 @@
 
     def _answer_timeout(self, size):
         """Return the timeout in seconds for the answer to ``size`` bytes."""
-        transfer = size / SLOW_LINK_BYTES
+        transfer = size / MIN_LINK_BYTES_PER_SECOND
         if self._conn is None:
             return CONNECT_SECONDS + MAX_ANSWER_TIMEOUT_SECONDS + transfer
         expected = max(
--- a/tests/cover/test_bad_input.py
+++ b/tests/cover/test_bad_input.py
@@ -37,7 +37,7 @@
         address = shared.instances[0].addresses["callers"]
         ask = client.Ask(address, world.KEY, "", "hello")
         assert client.send(ask).complete
-        assert shared.instances[0].host.open_exchanges() == 0
+        assert shared.instances[0].host.open_exchange_count() == 0
 
 
 @contextlib.contextmanager
@@ -207,6 +207,6 @@
     with connection(made) as conn:
         conn.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         conn.sendall(head.encode() + body)
-        world.wait_until(host.open_exchanges)
-        world.wait_until(lambda: not host.open_exchanges())
+        world.wait_until(host.open_exchange_count)
+        world.wait_until(lambda: not host.open_exchange_count())
     assert sent_bytes[0] < MAX_SOCKET_BYTES
--- a/tests/cover/test_bad_servers.py
+++ b/tests/cover/test_bad_servers.py
@@ -78,7 +78,7 @@
         assert received.outcome == "unknown"
         assert received.error in ("backend_server_failed", "deadline")
         assert bad.sent < MAX_SENT_BYTES
-        world.wait_until(lambda: not instance.host.open_exchanges())
+        world.wait_until(lambda: not instance.host.open_exchange_count())
     runner.kill()
 
 
--- a/tests/cover/test_forwarding.py
+++ b/tests/cover/test_forwarding.py
@@ -229,7 +229,7 @@
     sock.close()
     world.wait_until(lambda: stopped)
     assert stopped[0] - left < 0.3
-    world.wait_until(lambda: not entry.host.open_exchanges())
+    world.wait_until(lambda: not entry.host.open_exchange_count())
 
 
 def test_an_order_under_way_is_not_stopped_when_its_caller_leaves(made):
@@ -335,7 +335,7 @@
     sock = made.connect(entry)
     headers = platform_world.caller_headers("r1")
     platform_world.send(sock, "POST", "/chat/", headers, b"{}")
-    world.wait_until(entry.host.open_exchanges)
+    world.wait_until(entry.host.open_exchange_count)
     entry.begin_drain()
     assert made.ready(entry) == 503
     reply = platform_world.Reply(platform_world.read_to_end(sock))
--- a/tests/cover/test_outcomes.py
+++ b/tests/cover/test_outcomes.py
@@ -42,7 +42,7 @@
         cluster.apply(LOOKUP)
         leave_early(instance, max_tokens=5000)
         world.wait_until(lambda: engine.ran and not running(engine))
-        assert instance.host.open_exchanges() == 0
+        assert instance.host.open_exchange_count() == 0
 
 
 def test_caller_that_leaves_while_it_waits_is_noticed():
--- a/tests/cover/test_peer_link.py
+++ b/tests/cover/test_peer_link.py
@@ -105,7 +105,7 @@
         1e6,
     )
     received = []
-    link.take_in = received.append
+    link.receive_batch = received.append
     body, headers = link.pack(
         [outbox.QueuedMessage(messages.Heartbeat(), 0.0)]
     )
--- a/tests/cover/test_silences.py
+++ b/tests/cover/test_silences.py
@@ -120,7 +120,7 @@
 
 def check_nothing_is_left(entry):
     reducer = entry.host.reducer
-    world.wait_until(lambda: not entry.host.open_exchanges())
+    world.wait_until(lambda: not entry.host.open_exchange_count())
     assert not reducer.lives
     assert reducer.policy.own_loads() == []
     assert not reducer.policy.waiting()
--- a/tests/cover/test_silent_engines.py
+++ b/tests/cover/test_silent_engines.py
@@ -70,7 +70,7 @@
 
 def assert_no_request_is_left(made):
     host = made.instances[0].host
-    world.wait_until(lambda: not host.open_exchanges())
+    world.wait_until(lambda: not host.open_exchange_count())
     fleet = host.reducer.policy._fleet
     assert not host.reducer.lives
     assert not fleet.attempts and not fleet.attempts.hedges
--- a/tests/cover/test_starts.py
+++ b/tests/cover/test_starts.py
@@ -70,9 +70,9 @@
         sock = deployment.connect(entry)
         headers = platform_world.caller_headers("r1")
         platform_world.send(sock, "POST", "/order/", headers, b"{}")
-        world.wait_until(entry.host.open_exchanges)
+        world.wait_until(entry.host.open_exchange_count)
         sock.close()
-        world.wait_until(lambda: not entry.host.open_exchanges())
+        world.wait_until(lambda: not entry.host.open_exchange_count())
 
 
 def test_requests_wait_for_the_state_within_bounds():
