--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/forwarder.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/forwarder.py
@@ -184,7 +184,7 @@
 
     def _report_overdue(self):
         life = self._host.request_lifecycle(self._incoming.request_id)
-        begun = life is not None and life.begun > 0
+        begun = life is not None and life.attempts_begun > 0
         self._host.submit(events.Overdue(self._incoming.request_id))
         return problems.deadline(self._incoming.request_id, begun)
 
--- a/packages/dandeliontrail/src/dandeliontrail/components/answers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/answers.py
@@ -200,7 +200,7 @@
             "since_dispatched_ms": round(
                 (now - request.dispatched) * 1000.0, 1
             ),
-            "begun": request.begun,
+            "begun": request.attempts_begun,
             "seeking": request.seeking_hedge,
             "beside": hedge.server if hedge else "",
             "important": True,
--- a/packages/dandeliontrail/src/dandeliontrail/components/dispatching.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/dispatching.py
@@ -34,7 +34,7 @@
         )
     timeouts = patience.NO_SILENCE_TIMEOUTS
     if work.routed:
-        timeouts = patience.of_attempt(work, request.begun)
+        timeouts = patience.of_attempt(work, request.attempts_begun)
     return [
         effects.Dispatch(
             work.request_id,
--- a/packages/dandeliontrail/src/dandeliontrail/components/endings.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/endings.py
@@ -30,7 +30,7 @@
 
         The outcome is unknown if an attempt may have begun, else not run.
         """
-        begun = request.begun > 0
+        begun = request.attempts_begun > 0
         request.transition_to(
             request_lifecycle.Phase.UNKNOWN
             if begun
@@ -78,7 +78,7 @@
         else:
             self.report_attempt_end(request, now, wasted=True)
             out.extend(self.cancel(request, request.server))
-        begun = request.begun > 0
+        begun = request.attempts_begun > 0
         request.transition_to(
             request_lifecycle.Phase.UNKNOWN
             if begun
--- a/packages/dandeliontrail/src/dandeliontrail/components/hedges.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/hedges.py
@@ -35,7 +35,7 @@
         if request.seeking_hedge or request.hedge is not None:
             return
         limit = work.max_attempts or MAX_ATTEMPTS
-        if not work.repeatable or request.begun >= limit:
+        if not work.repeatable or request.attempts_begun >= limit:
             return
         if self._ends.is_blocked(work.fingerprint, not_before):
             return
--- a/packages/dandeliontrail/src/dandeliontrail/components/request_lifecycle.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/request_lifecycle.py
@@ -86,8 +86,8 @@
 
     Times are in seconds on the clock of this instance.
 
-    - ``begun``: number of attempts that may have begun; it decreases only
-      when a server reports that it did not begin.
+    - ``attempts_begun``: number of attempts that may have begun; it decreases
+      only when a server reports that it did not begin.
     - ``servers_reached``: number of servers that the request reached, whether
       they ran it or not; hedges that were rejected are not included.
     - ``first_output``: time of the first output of any attempt, or zero.
@@ -106,7 +106,7 @@
     work: work_module.Work
     phase: Phase = Phase.RECEIVED
     attempt: int = 0
-    begun: int = 0
+    attempts_begun: int = 0
     server: str = ""
     dispatched: float = 0.0
     first_output: float = 0.0
@@ -124,7 +124,7 @@
         """Enter ``phase``.
 
         Raises ``InvariantBroken`` if the transition table does not allow it,
-        or if ``NOT_RUN`` or ``UNKNOWN`` would contradict ``begun``.
+        or if ``NOT_RUN`` or ``UNKNOWN`` would contradict ``attempts_begun``.
         """
         request_id = self.work.request_id
         invariants.check(
@@ -133,13 +133,13 @@
             f"{request_id} from {self.phase.value} to {phase.value}",
         )
         invariants.check(
-            phase is not Phase.NOT_RUN or self.begun == 0,
+            phase is not Phase.NOT_RUN or self.attempts_begun == 0,
             "not-run-is-true",
-            f"{request_id} has {self.begun} attempts that may have begun",
+            f"{request_id} has {self.attempts_begun} attempts that may have begun",
         )
         invariants.check(
             phase is not Phase.UNKNOWN
-            or self.begun > 0
+            or self.attempts_begun > 0
             or self.phase is Phase.CLAIMING,
             "unknown-only-where-something-may-have-begun",
             f"{request_id} has no attempt that may have begun",
@@ -205,21 +205,21 @@
         The rejection does not count towards those of the request itself.
         """
         if self.hedge.may_have_begun:
-            self.begun -= 1
+            self.attempts_begun -= 1
             self.servers_reached -= 1
             self.hedges_rejected += 1
 
     def _count_begun(self):
-        self.begun += 1
+        self.attempts_begun += 1
         self.servers_reached += 1
         invariants.check(
-            self.work.repeatable or self.begun == 1,
+            self.work.repeatable or self.attempts_begun == 1,
             "non-repeatable-runs-at-most-once",
-            f"{self.work.request_id} may have begun {self.begun} times",
+            f"{self.work.request_id} may have begun {self.attempts_begun} times",
         )
 
     def mark_not_begun(self):
         """Requeue after the current attempt did not begin."""
         if self.phase is Phase.MAY_HAVE_BEGUN:
-            self.begun -= 1
+            self.attempts_begun -= 1
         self.transition_to(Phase.QUEUED)
--- a/packages/dandeliontrail/src/dandeliontrail/components/requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/requests.py
@@ -226,7 +226,7 @@
         return out
 
     def _cut_off_blocked(self, request, now):
-        begun = request.begun > 0
+        begun = request.attempts_begun > 0
         request_id = request.work.request_id
         refusal = answers.refusal(request_id, ENDS_SERVERS, begun=begun)
         reason = ENDS_SERVERS.reason.value
@@ -357,8 +357,11 @@
         work.avoid.add(request.server)
         if self._ends.is_blocked(work.fingerprint, now):
             return self._refuse(request, ENDS_SERVERS, now)
-        rejected = request.servers_reached - request.begun
-        if request.begun >= work.max_attempts or rejected >= MAX_REJECTIONS:
+        rejected = request.servers_reached - request.attempts_begun
+        if (
+            request.attempts_begun >= work.max_attempts
+            or rejected >= MAX_REJECTIONS
+        ):
             return self._refuse_after_failures(request, now)
         if not reached_server:
             self._policy.requeue(work, now)
@@ -369,7 +372,7 @@
     def _refuse_after_failures(self, request, now):
         nothing = sentinels.Nothing(
             sentinels.Reason.SERVER_FAILED
-            if request.begun
+            if request.attempts_begun
             else sentinels.Reason.ALL_BUSY,
             BUSY_RETRY_SECONDS,
         )
@@ -508,7 +511,7 @@
         if request is None:
             return self._cut_short_early(event.request_id)
         begun = (
-            request.begun > 0
+            request.attempts_begun > 0
             or request.phase is request_lifecycle.Phase.CLAIMING
         )
         refusal = answers.refusal(event.request_id, DRAINING, begun=begun)
