--- a/bench/logging_cost.py
+++ b/bench/logging_cost.py
@@ -101,7 +101,7 @@
         for effect in produced:
             if isinstance(
                 effect, effects.Log
-            ) and not request_log.is_said_at_the_end(effect):
+            ) and not request_log.is_covered_by_end_line(effect):
                 logger.info(effect.message, extra=effect.fields)
         log.effects(produced, 0.0)
 
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/drain.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/drain.py
@@ -14,13 +14,13 @@
 POLL_SECONDS = 0.05
 
 
-class Drain:
+class DrainState:
     """The progress of the shutdown of this instance."""
 
     def __init__(self, limits):
         self._limits = limits
         self.draining = False
-        self.refusing = False
+        self.refuses_requests = False
         self.end_at_once = False
 
     def begin(self):
@@ -54,10 +54,10 @@
         """
         with gevent.Timeout(self._limits.drain_seconds, False):
             self._wait_for_balancer()
-            self.refusing = True
+            self.refuses_requests = True
             while host.open_exchange_count() and not self.end_at_once:
                 gevent.sleep(POLL_SECONDS)
-        self.refusing = True
+        self.refuses_requests = True
         self._end_remaining(host)
 
     def _wait_for_balancer(self):
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/early_hangup.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/early_hangup.py
@@ -21,7 +21,7 @@
     _pending.append(number)
 
 
-def came():
+def take_pending():
     """Return whether a SIGHUP was recorded, and clear the record."""
     received = bool(_pending)
     _pending.clear()
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/face.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/face.py
@@ -24,7 +24,7 @@
     limits: settings.LimitSettings | None = None
 
 
-class Inner(msgspec.Struct):
+class InstanceParts(msgspec.Struct):
     """The parts of an instance that its listeners use.
 
     ``stack`` is closed with the instance; ``on_term`` starts its drain.
@@ -33,7 +33,7 @@
     cfg: settings.Settings
     host: host_module.Host
     engines: engine_client.PooledEngineClient
-    drain: drain_module.Drain
+    drain: drain_module.DrainState
     logger: typing.Any
     on_term: typing.Callable
     stack: contextlib.ExitStack
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/app.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/app.py
@@ -22,7 +22,7 @@
         incoming = self._dialect.read(environ[wsgi.HEAD])
         try:
             body = wsgi.read_body(environ, self._body_limit(), BODY_SECONDS)
-            if self._drain.refusing:
+            if self._drain.refuses_requests:
                 raise self._draining(incoming.request_id)
         except wsgi.Problem as problem:
             headers = self._dialect.problem_headers(
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/host.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/host.py
@@ -290,7 +290,7 @@
         self._usage_disk.put(effect)
 
     def _log(self, effect):
-        if request_log.is_said_at_the_end(effect):
+        if request_log.is_covered_by_end_line(effect):
             return
         level = effect.level.upper()
         self.logger.log(_LEVELS[level], effect.message, extra=effect.fields)
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/instance.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/instance.py
@@ -44,19 +44,19 @@
     """One instance, running between ``__enter__`` and ``__exit__``.
 
     ``face`` provides the listeners beside the peer listener; by default it is
-    :class:`.standard_listeners.StandardFace`.  Without ``settings_path``, SIGHUP
-    does not reload the log level.
+    :class:`.standard_listeners.StandardListeners`.  Without
+    ``settings_path``, SIGHUP does not reload the log level.
     """
 
     def __init__(self, cfg, logger, settings_path=None, face=None):
         self._cfg = cfg
-        self._face = face or standard_listeners.StandardFace()
+        self._face = face or standard_listeners.StandardListeners()
         self._settings_path = settings_path
         self._logger = logger
         self._stack = contextlib.ExitStack()
         self._servers = {}
         self._stopping = gevent_event.Event()
-        self.drain_state = drain.Drain(cfg.limits)
+        self.drain_state = drain.DrainState(cfg.limits)
         self._tls = listener_tls.ListenerTls(cfg.tls)
         self.host = None
         self.addresses = {}
@@ -158,7 +158,7 @@
         )
 
     def _listen(self):
-        inner = face_module.Inner(
+        inner = face_module.InstanceParts(
             self._cfg,
             self.host,
             self._engines,
@@ -178,7 +178,7 @@
             server = http_server.Server(
                 _take_early_socket(item.address) or item.address,
                 self.drain_state.close_connections(
-                    wsgi.guard(item.app, self._logger)
+                    wsgi.catch_errors(item.app, self._logger)
                 ),
                 item.limits or self._cfg.limits,
                 self._logger,
@@ -205,7 +205,7 @@
         gevent.signal_handler(signal.SIGTERM, self.on_term)
         gevent.signal_handler(signal.SIGINT, self.on_term)
         gevent.signal_handler(signal.SIGHUP, self.reload)
-        if early_hangup.came():
+        if early_hangup.take_pending():
             self.reload()
         self._stopping.wait()
         self._logger.info("draining")
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/backend_servers.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/backend_servers.py
@@ -33,7 +33,7 @@
         """Serve one request."""
         if environ["PATH_INFO"] == "/healthz":
             return wsgi.reply_json(start_response, {"ok": True})
-        if not self._authenticator.name_of(tokens.bearer(environ)):
+        if not self._authenticator.name_of(tokens.bearer_token(environ)):
             raise wsgi.Problem(
                 401,
                 "unknown_token",
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/callers.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/callers.py
@@ -162,7 +162,7 @@
         return self._relay(environ, event, call, start_response)
 
     def _new_event(self, environ, body):
-        key = tokens.bearer(environ)
+        key = tokens.bearer_token(environ)
         return events.RequestReceived(
             request_id=environ[REQUEST_ID_KEY],
             key_hash=tokens.hash_of(key) if key else "",
@@ -173,7 +173,7 @@
         )
 
     def _relay(self, environ, event, call, start_response):
-        if self._drain.refusing:
+        if self._drain.refuses_requests:
             raise wsgi.Problem(
                 503,
                 "draining",
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/drain_request.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/drain_request.py
@@ -22,7 +22,7 @@
         """Serve one request."""
         if environ["PATH_INFO"] != PATH:
             return self._app(environ, start_response)
-        if not self._authenticator.name_of(tokens.bearer(environ)):
+        if not self._authenticator.name_of(tokens.bearer_token(environ)):
             raise wsgi.Problem(
                 401,
                 "unknown_token",
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/operators.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/operators.py
@@ -25,7 +25,7 @@
         path = environ["PATH_INFO"]
         if path == "/healthz":
             return wsgi.reply_json(start_response, {"ok": True})
-        author = self._authenticator.name_of(tokens.bearer(environ))
+        author = self._authenticator.name_of(tokens.bearer_token(environ))
         if not author:
             raise wsgi.Problem(
                 401,
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/request_log.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/request_log.py
@@ -197,7 +197,7 @@
     )
 
 
-def is_said_at_the_end(effect):
+def is_covered_by_end_line(effect):
     """Whether the line ``request ended`` covers an effect's content.
 
     For a successful request the decision adds nothing that this line does not
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/standard_listeners.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/standard_listeners.py
@@ -8,7 +8,7 @@
 from .listeners import operators
 
 
-class StandardFace(face.Face):
+class StandardListeners(face.Face):
     """One listener each for callers, backend servers and operators."""
 
     def __init__(self):
@@ -21,7 +21,7 @@
             ("operators", credentials.operator_tokens_file),
             ("backend_servers", credentials.backend_tokens_file),
         ):
-            self._authenticators[name] = tokens.doorkeeper(
+            self._authenticators[name] = tokens.new_authenticator(
                 path, name in credentials.open
             )
         operators_authenticator = self._authenticators["operators"]
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/tokens.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/tokens.py
@@ -16,7 +16,7 @@
     return f"sha256:{digest}"
 
 
-def bearer(environ):
+def bearer_token(environ):
     """Return the bearer token of a request, or ''."""
     header = environ.get("HTTP_AUTHORIZATION", "")
     if not header.startswith(SCHEME):
@@ -77,7 +77,7 @@
         return "anonymous"
 
 
-def doorkeeper(path, is_open):
+def new_authenticator(path, is_open):
     """Return the authenticator of a listener.
 
     Raises :class:`dandeliontrail.SettingsError` if there is neither a
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/wsgi.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/wsgi.py
@@ -215,7 +215,7 @@
     )
 
 
-def guard(app, logger):
+def catch_errors(app, logger):
     """Wrap a WSGI app so that every exception becomes an error response."""
 
     def guarded(environ, start_response):
