--- a/bench/claims.py
+++ b/bench/claims.py
@@ -22,7 +22,7 @@
     digest = claims.voters_digest(VOTERS)
     source = messages.Sender("i1", "10.0.0.1:8003", "fd1", "r1", 1)
     for number in range(CLAIM_COUNT):
-        key = claims.key_of("org", str(number))
+        key = claims.key_digest("org", str(number))
         ask = claims.ClaimAsk(key, f"{number:036d}.1", key[::-1], digest)
         body = codec.encode(codec.Envelope(source, [ask]))
         envelope = codec.decode(body)
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/limit_breaches.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/limit_breaches.py
@@ -199,7 +199,9 @@
     The result is (what, amount) rows.
     """
     size = model.TARGET_SIZE
-    renewals_per_second = 1.0 / (leases.LEASE * leases.RENEW_BELOW)
+    renewals_per_second = 1.0 / (
+        leases.LEASE_SECONDS * leases.RENEW_BELOW_FRACTION
+    )
     entry_us = data.fit("change_us").at(size.organisations)
     orders_per_day = 2.0 * size.starts_a_day
     return [
--- a/packages/dandeliontrail/src/dandeliontrail/components/early_requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/early_requests.py
@@ -10,13 +10,13 @@
 
 # How long requests wait for the state, in seconds: well above the usual time
 # from listening to serving.
-PATIENCE = 1.0
+MAX_WAIT_SECONDS = 1.0
 # The share of its timeout that a request may wait; the rest is left for
 # running it.
 MAX_TIMEOUT_SHARE = 0.4
 # Maximum number of held requests, many times what one instance receives in a
 # second.  Further requests are refused with Retry-After.
-MOST_WAITING = 512
+MAX_WAITING_REQUESTS = 512
 
 
 class EarlyRequests:
@@ -27,9 +27,9 @@
 
     def hold(self, event, now):
         """Hold a request that arrived at ``now``; return ``False`` if full."""
-        if len(self._held) >= MOST_WAITING:
+        if len(self._held) >= MAX_WAITING_REQUESTS:
             return False
-        seconds = PATIENCE
+        seconds = MAX_WAIT_SECONDS
         if event.timeout is not None:
             seconds = min(seconds, event.timeout * MAX_TIMEOUT_SHARE)
         self._held[event.request_id] = (event, now, now + seconds)
--- a/packages/dandeliontrail/src/dandeliontrail/components/requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/requests.py
@@ -109,7 +109,7 @@
         request.transition_to(request_lifecycle.Phase.CLAIMING)
         wanted = claim_rounds.ClaimRequest(
             work.request_id,
-            claims_module.key_of(work.organisation, event.idempotency_key),
+            claims_module.key_digest(work.organisation, event.idempotency_key),
             event.body_digest[: claims_module.KEY_DIGEST_LENGTH],
             work.repeatable,
             work.deadline,
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/claim_entries.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/claim_entries.py
@@ -14,7 +14,7 @@
 MAX_ENTRIES = 100_000
 # Size limits of the answers kept for retries: of one, and of all together.
 MAX_ANSWER_BYTES = 1024 * 1024
-MOST_HELD_BYTES = 16 * 1024 * 1024
+MAX_HELD_ANSWER_BYTES = 16 * 1024 * 1024
 
 
 class ClaimState(enum.Enum):
@@ -110,7 +110,7 @@
         entry.answer = answer
         self._entries_with_answer[entry.claim] = entry
         self._answer_bytes += len(answer.body)
-        while self._answer_bytes > MOST_HELD_BYTES:
+        while self._answer_bytes > MAX_HELD_ANSWER_BYTES:
             _, oldest = self._entries_with_answer.popitem(last=False)
             self._evict_answer(oldest)
 
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/claims.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/claims.py
@@ -144,7 +144,7 @@
 )
 
 
-def key_of(organisation, idempotency_key):
+def key_digest(organisation, idempotency_key):
     """Return the digest that identifies an organisation's key."""
     text = f"{organisation}\0{idempotency_key}"
     return hashlib.sha256(text.encode()).hexdigest()[:KEY_DIGEST_LENGTH]
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/leases.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/leases.py
@@ -30,7 +30,7 @@
 # Duration of a grant, in seconds.  A shorter lease is taken over sooner after
 # its holder fails; a longer one needs fewer renewals.  Loading a model takes
 # minutes, so half a minute without a lease holder costs little.
-LEASE = 20.0
+LEASE_SECONDS = 20.0
 # Timeout of an order, in seconds.  After it the connection is reset, which
 # also discards what the kernel has not sent yet.
 MAX_ORDER_SECONDS = 5.0
@@ -39,7 +39,7 @@
 MAX_CLOCK_RATE_ERROR = 0.01
 # A holder with work to do renews its lease when less than this fraction of it
 # is left.
-RENEW_BELOW = 0.5
+RENEW_BELOW_FRACTION = 0.5
 
 
 class LeaseTerms(msgspec.Struct, frozen=True):
@@ -53,7 +53,7 @@
     stores, so the first holder in a log has no predecessor.
     """
 
-    lease: float = LEASE
+    lease: float = LEASE_SECONDS
     longest_call: float = MAX_ORDER_SECONDS
     turn: float = 0.0
     by_keepers: bool = False
@@ -261,7 +261,7 @@
         if self.grant is None:
             return True
         left = self.grant.valid_until - now
-        return left < self.terms.lease * RENEW_BELOW
+        return left < self.terms.lease * RENEW_BELOW_FRACTION
 
     def may_order(self, checks_fencing, now):
         """Return whether an order or a call may be sent at ``now``.
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_proposals.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_proposals.py
@@ -18,7 +18,7 @@
 # How long a proposal waits for a leader before it is reported as not run.  It
 # is longer than an election, so that a failover causes no error.  Once sent,
 # a proposal is reported as unknown after SENT_TIMEOUT_SECONDS.
-UNSENT_SECONDS = 4.0
+UNSENT_TIMEOUT_SECONDS = 4.0
 SENT_TIMEOUT_SECONDS = 8.0
 LEADER_QUERY_INTERVAL_SECONDS = 0.3
 RESEND_INTERVAL_SECONDS = 1.0
@@ -125,7 +125,11 @@
         """
         found = []
         for proposal_id, pending in list(self._pending.items()):
-            limit = SENT_TIMEOUT_SECONDS if pending.sent else UNSENT_SECONDS
+            limit = (
+                SENT_TIMEOUT_SECONDS
+                if pending.sent
+                else UNSENT_TIMEOUT_SECONDS
+            )
             if now - pending.started_at < limit:
                 continue
             kind = SettledKind.UNKNOWN if pending.sent else SettledKind.NOT_RUN
--- a/tests/cover/test_claims.py
+++ b/tests/cover/test_claims.py
@@ -165,7 +165,12 @@
     world.crash("v2")
     world.crash("v0")
     late = claims.ClaimVote(
-        claims.key_of("", ""), f"{first}.1", f"{first}.1", "d", "i0", "i0:1"
+        claims.key_digest("", ""),
+        f"{first}.1",
+        f"{first}.1",
+        "d",
+        "i0",
+        "i0:1",
     )
     world.reconnect("i0", "v2")
     world.messages.append(("v2", "i0", late))
--- a/tests/cover/test_order_leases.py
+++ b/tests/cover/test_order_leases.py
@@ -232,7 +232,7 @@
         request = second.ask(table.holding("fd1"), now)
         second.answered(table.apply(int(now), request), now)
     assert second.grant.fencing == 2
-    just_after_the_old_lease = 10.0 + leases.LEASE * 1.02
+    just_after_the_old_lease = 10.0 + leases.LEASE_SECONDS * 1.02
     assert not second.may_order(False, just_after_the_old_lease)
     assert second.may_order(False, 36.0)
     first.superseded(table.holding("fd1"))
@@ -300,7 +300,7 @@
     request = holder.ask(table.holding("fd1"), 0.0)
     holder.answered(table.apply(1, request), 15.0)
     assert holder.may_order(True, 19.0)
-    assert not holder.may_order(True, leases.LEASE)
+    assert not holder.may_order(True, leases.LEASE_SECONDS)
 
 
 def test_log_grants_one_of_two_that_replace_the_same_holder():
--- a/tests/cover/test_orders_path.py
+++ b/tests/cover/test_orders_path.py
@@ -92,7 +92,7 @@
         started = clock.MonotonicClock().now()
         request = lease.ask(table.holding("fd1"), started)
         lease.answered(table.apply(1, request), started)
-        paused = PausedClock(started + leases.LEASE)
+        paused = PausedClock(started + leases.LEASE_SECONDS)
         answers = []
         sender = order_client.OrderClient(lease, paused, answers.append)
         order = model_orders.Order(
--- a/tests/cover/test_outcomes.py
+++ b/tests/cover/test_outcomes.py
@@ -96,7 +96,8 @@
         fields = {"idempotency_key": "report-8"}
         assert client.send(ask(instance, **fields)).complete
         monkeypatch.setattr(
-            "dandeliontrail.coordination.claim_entries.MOST_HELD_BYTES", 10
+            "dandeliontrail.coordination.claim_entries.MAX_HELD_ANSWER_BYTES",
+            10,
         )
         client.send(ask(instance, idempotency_key="report-9"))
         assert len(claims.entries) == 2
--- a/tests/cover/test_resource_api.py
+++ b/tests/cover/test_resource_api.py
@@ -182,7 +182,7 @@
 ):
     # Two of three keepers are stopped.  The write is refused in bounded time,
     # reads still work, and the write is not found once a keeper is back.
-    monkeypatch.setattr(quorum_log_proposals, "UNSENT_SECONDS", 1.0)
+    monkeypatch.setattr(quorum_log_proposals, "UNSENT_TIMEOUT_SECONDS", 1.0)
     with keepers() as made:
         server = api_of(made.instances[0])
         server.put("backendpools", "p", model(1))
--- a/tests/cover/test_starts.py
+++ b/tests/cover/test_starts.py
@@ -61,7 +61,7 @@
         reply = deployment.call(entry, "POST", "/order/", left="3000")
         assert reply.status == 503
         assert float(reply.headers["retry-after"]) > 0
-        assert time.monotonic() - began < early_requests.PATIENCE + 0.5
+        assert time.monotonic() - began < early_requests.MAX_WAIT_SECONDS + 0.5
 
 
 def test_a_caller_that_leaves_during_the_start_is_forgotten():
@@ -84,7 +84,7 @@
     assert (event.request_id, received) == ("short", 0.0)
     assert early.drop("long")
     assert not early.drop("long")
-    for number in range(early_requests.MOST_WAITING):
+    for number in range(early_requests.MAX_WAITING_REQUESTS):
         assert early.hold(request_event(f"r{number}"), 1.0)
     assert not early.hold(request_event("one more"), 1.0)
-    assert len(early.due(True, 1.0)) == early_requests.MOST_WAITING
+    assert len(early.due(True, 1.0)) == early_requests.MAX_WAITING_REQUESTS
