--- a/packages/dandeliontrail/src/dandeliontrail/components/request_lifecycle.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/request_lifecycle.py
@@ -135,7 +135,8 @@
         invariants.check(
             phase is not Phase.NOT_RUN or self.attempts_begun == 0,
             "not-run-is-true",
-            f"{request_id} has {self.attempts_begun} attempts that may have begun",
+            f"{request_id} has {self.attempts_begun} attempts"
+            " that may have begun",
         )
         invariants.check(
             phase is not Phase.UNKNOWN
@@ -215,7 +216,8 @@
         invariants.check(
             self.work.repeatable or self.attempts_begun == 1,
             "non-repeatable-runs-at-most-once",
-            f"{self.work.request_id} may have begun {self.attempts_begun} times",
+            f"{self.work.request_id} may have begun"
+            f" {self.attempts_begun} times",
         )
 
     def mark_not_begun(self):
