--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/command.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/command.py
@@ -21,7 +21,7 @@
 def policy(
     *,
     scenario: list[str] = (ALL,),
-    policy: list[str] = (runs.OURS,),
+    policy: list[str] = (runs.ADAPTIVE,),
     seed: list[int] = (),
     instances: int = runs.INSTANCES,
     processes: int = 1,
@@ -76,7 +76,7 @@
     if ALL in names:
         return runs.policies()
     if BASELINES in names:
-        return [*runs.BASELINES, runs.OURS]
+        return [*runs.BASELINES, runs.ADAPTIVE]
     return _check_names(names, runs.policies())
 
 
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/instance_view.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/instance_view.py
@@ -49,25 +49,25 @@
 
 def work_of(request):
     """Return a request as the decision code sees it."""
-    shape = request.shape
+    request_class = request.request_class
     return work_module.Work(
         str(request.number),
         request.organisation.name,
-        shape.name,
+        request_class.name,
         "small",
         "",
-        shape.priority,
+        request_class.priority,
         request.arrives,
-        request.arrives + shape.timeout,
+        request.arrives + request_class.timeout,
         prompt_tokens=request.prompt,
         prefix_hash=request.prefix,
-        sheddable=shape.sheddable,
-        repeatable=shape.repeatable,
-        minimum_share=shape.minimum_share,
+        sheddable=request_class.sheddable,
+        repeatable=request_class.repeatable,
+        minimum_share=request_class.minimum_share,
         weight=request.organisation.weight,
-        first_token_ms=_milliseconds(shape.first_token),
-        total_ms=_milliseconds(shape.total),
-        between_tokens_ms=_milliseconds(shape.between_tokens),
+        first_token_ms=_milliseconds(request_class.first_token),
+        total_ms=_milliseconds(request_class.total),
+        between_tokens_ms=_milliseconds(request_class.between_tokens),
     )
 
 
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/measures.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/measures.py
@@ -52,7 +52,7 @@
         for item in results
         if item.request.arrives >= scenarios.WARM_UP_SECONDS
     ]
-    protected = [r for r in measured if r.request.shape.protected()]
+    protected = [r for r in measured if r.request.request_class.protected()]
     return Measures(
         _by_class(measured, _attainment),
         _by_class(measured, _longest_wait),
@@ -69,21 +69,26 @@
     """Return whether a request completed within all of its targets."""
     if result.outcome != "complete":
         return False
-    shape = result.request.shape
+    request_class = result.request.request_class
     arrives = result.request.arrives
     if (
-        shape.first_token
-        and result.first_token_at - arrives > shape.first_token
+        request_class.first_token
+        and result.first_token_at - arrives > request_class.first_token
     ):
         return False
-    if shape.between_tokens and _mean_token_gap(result) > shape.between_tokens:
+    if (
+        request_class.between_tokens
+        and _mean_token_gap(result) > request_class.between_tokens
+    ):
         return False
-    return not (shape.total and result.ended - arrives > shape.total)
+    return not (
+        request_class.total and result.ended_at - arrives > request_class.total
+    )
 
 
 def _mean_token_gap(result):
     """Return the mean time between two tokens, in seconds."""
-    return (result.ended - result.first_token_at) / max(
+    return (result.ended_at - result.first_token_at) / max(
         1, result.request.output - 1
     )
 
@@ -96,10 +101,10 @@
     """
     if not meets_targets(result):
         return 0.0
-    if result.ended <= end:
+    if result.ended_at <= end:
         return result.request.cost
     done_share = (end - result.first_token_at) / (
-        result.ended - result.first_token_at
+        result.ended_at - result.first_token_at
     )
     return result.request.cost * max(0.0, done_share)
 
@@ -107,7 +112,7 @@
 def _by_class(results, statistic):
     grouped = collections.defaultdict(list)
     for item in results:
-        grouped[item.request.shape.name].append(item)
+        grouped[item.request.request_class.name].append(item)
     return {name: statistic(items) for name, items in sorted(grouped.items())}
 
 
@@ -231,13 +236,16 @@
     the class had waited for long, in an instance or in an engine's own queue.
     """
     classes = {
-        r.request.shape.name: r.request.shape for r in simulation.results
+        r.request.request_class.name: r.request.request_class
+        for r in simulation.results
     }
     served = collections.defaultdict(collections.Counter)
     for item in simulation.results:
         if item.first_token_at is not None:
             window = int(item.first_token_at / WINDOW_SECONDS)
-            served[window][item.request.shape.name] += item.request.cost
+            served[window][item.request.request_class.name] += (
+                item.request.cost
+            )
     samples_by_window = collections.defaultdict(list)
     for when, backlogged in simulation.backlog_samples:
         samples_by_window[int(when / WINDOW_SECONDS)].append(backlogged)
@@ -246,10 +254,10 @@
         if len(samples) < int(WINDOW_SECONDS):
             continue
         total = sum(served[window].values())
-        for name, shape in classes.items():
+        for name, request_class in classes.items():
             throughout = all(name in backlogged for backlogged in samples)
-            if not throughout or not shape.minimum_share or not total:
+            if not throughout or not request_class.minimum_share or not total:
                 continue
-            share = served[window][name] / total / shape.minimum_share
+            share = served[window][name] / total / request_class.minimum_share
             smallest = share if smallest is None else min(smallest, share)
     return smallest
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/runs.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/runs.py
@@ -17,7 +17,7 @@
 INSTANCES = 9
 ABLATION_PREFIX = "without-"
 BASELINES = ("fifo", "priority", "two-choices")
-OURS = "adaptive"
+ADAPTIVE = "adaptive"
 # The fixed seeds on which every change of a policy is measured.
 BENCHMARK_SEEDS = tuple(range(1, 11))
 
@@ -39,10 +39,14 @@
     mechanisms, the adaptive policy without it.
     """
     mechanisms = list(options.Options.__struct_fields__)
-    return [*BASELINES, OURS, *(ABLATION_PREFIX + name for name in mechanisms)]
+    return [
+        *BASELINES,
+        ADAPTIVE,
+        *(ABLATION_PREFIX + name for name in mechanisms),
+    ]
 
 
-def maker(run):
+def policy_factory(run):
     """Return the policy factory of a run.
 
     It is called with the number of an instance and the count of instances.
@@ -75,7 +79,7 @@
     """Simulate a run and return the finished simulation."""
     scenario = scenarios.SCENARIOS[run.scenario]
     simulated = simulation.Simulation(
-        scenario, maker(run), run.seed, run.instances
+        scenario, policy_factory(run), run.seed, run.instances
     )
     simulated.run()
     return simulated
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/scenarios.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/scenarios.py
@@ -30,7 +30,7 @@
 class Burst:
     """A period in which a class arrives at ``rate_factor`` times its rate."""
 
-    shape: workload.ClassShape
+    request_class: workload.RequestClass
     start: float
     seconds: float
     rate_factor: float
@@ -44,7 +44,7 @@
     scenario.
     """
 
-    shape: workload.ClassShape
+    request_class: workload.RequestClass
     start: float
     seconds: float
     capacity_share: float
@@ -93,15 +93,18 @@
             rng, callers, self.parameters, self.prefix_count, self.prefix_share
         )
         requests = []
-        for shape, share in self.mix.items():
+        for request_class, share in self.mix.items():
             rate = (
-                self.load * share * self.engines / generator.mean_cost(shape)
+                self.load
+                * share
+                * self.engines
+                / generator.mean_cost(request_class)
             )
             warm_up_rate = rate * min(1.0, WARM_UP_LOAD / self.load)
             self._poisson(
                 rng,
                 generator,
-                shape,
+                request_class,
                 warm_up_rate,
                 0.0,
                 WARM_UP_SECONDS,
@@ -110,20 +113,20 @@
             self._poisson(
                 rng,
                 generator,
-                shape,
+                request_class,
                 rate,
                 WARM_UP_SECONDS,
                 self.seconds,
                 requests,
             )
             for burst in self.bursts:
-                if burst.shape is shape:
+                if burst.request_class is request_class:
                     end = burst.start + burst.seconds
                     extra_rate = rate * (burst.rate_factor - 1.0)
                     self._poisson(
                         rng,
                         generator,
-                        shape,
+                        request_class,
                         extra_rate,
                         burst.start,
                         end,
@@ -131,12 +134,16 @@
                     )
         for backlog in self.backlogs:
             total = backlog.capacity_share * self.engines * self.seconds
-            rate = total / generator.mean_cost(backlog.shape) / backlog.seconds
+            rate = (
+                total
+                / generator.mean_cost(backlog.request_class)
+                / backlog.seconds
+            )
             end = backlog.start + backlog.seconds
             self._poisson(
                 rng,
                 generator,
-                backlog.shape,
+                backlog.request_class,
                 rate,
                 backlog.start,
                 end,
@@ -147,12 +154,14 @@
             request.number = number
         return requests
 
-    def _poisson(self, rng, generator, shape, rate, start, end, requests):
+    def _poisson(
+        self, rng, generator, request_class, rate, start, end, requests
+    ):
         if rate <= 0.0:
             return
         when = start + rng.expovariate(rate)
         while when < end:
-            requests.append(generator.generate(shape, when))
+            requests.append(generator.generate(request_class, when))
             when += rng.expovariate(rate)
 
     def capacity(self, when):
@@ -198,8 +207,8 @@
     missed only because a step of a batch of 128 takes too long.
     """
     mix = {
-        dataclasses.replace(shape, between_tokens=0.035): share
-        for shape, share in DEFAULT_MIX.items()
+        dataclasses.replace(request_class, between_tokens=0.035): share
+        for request_class, share in DEFAULT_MIX.items()
     }
     parameters = engine_model.EngineParameters(slots=128, kv_tokens=400_000)
     return Scenario("too-many-slots", 1.3, mix=mix, parameters=parameters)
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/simulation.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/simulation.py
@@ -46,7 +46,7 @@
     request: object
     outcome: str = "open"
     first_token_at: float | None = None
-    ended: float = 0.0
+    ended_at: float = 0.0
     first_placed_at: float | None = None
     attempts: int = 0
     started_attempts: int = 0
@@ -123,9 +123,11 @@
         item = instance_view.work_of(request)
         self._numbers_by_id[item.request_id] = number
         self._instance_indices[number] = instance_index
-        self._unanswered[request.shape.name].append(self.results[number])
+        self._unanswered[request.request_class.name].append(
+            self.results[number]
+        )
         self.schedule(
-            request.arrives + request.shape.timeout,
+            request.arrives + request.request_class.timeout,
             self._on_caller_timeout,
             number,
         )
@@ -226,7 +228,7 @@
     def _close(self, number, outcome):
         result = self.results[number]
         result.outcome = outcome
-        result.ended = self.now
+        result.ended_at = self.now
         self._open -= 1
 
     # Engines
@@ -309,7 +311,8 @@
         item = instance_view.work_of(result.request)
         item.avoid.add(engine.name)
         repeats = (
-            result.request.shape.repeatable and not stream.generated_tokens
+            result.request.request_class.repeatable
+            and not stream.generated_tokens
         )
         if repeats and result.attempts < MAX_ATTEMPTS:
             if policy.retry(item, self.now):
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/workload.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/workload.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class ClassShape:
+class RequestClass:
     """A request class and the distribution of its requests.
 
     Times are in seconds; ``prompt`` and ``output`` are medians in tokens.
@@ -50,7 +50,7 @@
 
     number: int
     arrives: float
-    shape: ClassShape
+    request_class: RequestClass
     organisation: Organisation
     prompt: int
     output: int
@@ -60,13 +60,15 @@
 
     def deadline(self):
         """Return the latest completion time that can count as goodput."""
-        return self.arrives + (self.shape.total or self.shape.timeout)
+        return self.arrives + (
+            self.request_class.total or self.request_class.timeout
+        )
 
 
-LOOKUP = ClassShape(
+LOOKUP = RequestClass(
     "lookup", 0, 150, 40, 10.0, first_token=0.3, minimum_share=0.1
 )
-INTAKE = ClassShape(
+INTAKE = RequestClass(
     "intake",
     0,
     200,
@@ -76,16 +78,16 @@
     repeatable=False,
     minimum_share=0.1,
 )
-REPLY = ClassShape(
+REPLY = RequestClass(
     "reply", 1, 400, 120, 60.0, total=20.0, repeatable=False, minimum_share=0.1
 )
-DRAFT = ClassShape(
+DRAFT = RequestClass(
     "draft", 2, 600, 180, 30.0, total=15.0, sheddable=True, minimum_share=0.05
 )
-REVIEW = ClassShape(
+REVIEW = RequestClass(
     "review", 3, 1200, 250, 1800.0, total=900.0, minimum_share=0.05
 )
-SUMMARY = ClassShape(
+SUMMARY = RequestClass(
     "summary",
     3,
     800,
@@ -127,15 +129,17 @@
         self._prefix_share = prefix_share
         self._number = 0
 
-    def generate(self, shape, arrives):
+    def generate(self, request_class, arrives):
         """Return one request of a class."""
         self._number += 1
         (organisation,) = self._rng.choices(
             self._organisations, self._demand_shares
         )
-        prefix_tokens = int(shape.prompt * self._prefix_share)
-        prompt = prefix_tokens + self._length(shape.prompt - prefix_tokens)
-        output = self._length(shape.output)
+        prefix_tokens = int(request_class.prompt * self._prefix_share)
+        prompt = prefix_tokens + self._length(
+            request_class.prompt - prefix_tokens
+        )
+        output = self._length(request_class.output)
         prefix_number = self._rng.randrange(self._prefix_count)
         cost = engine_model.ideal_cost(
             self._parameters, prompt, output, prefix_tokens
@@ -143,11 +147,11 @@
         return Request(
             self._number,
             arrives,
-            shape,
+            request_class,
             organisation,
             prompt,
             output,
-            f"{organisation.name}/{shape.name}/{prefix_number}",
+            f"{organisation.name}/{request_class.name}/{prefix_number}",
             prefix_tokens,
             cost,
         )
@@ -156,7 +160,9 @@
         length = self._rng.lognormvariate(math.log(median), LENGTH_SIGMA)
         return max(4, int(length))
 
-    def mean_cost(self, shape, samples=400):
+    def mean_cost(self, request_class, samples=400):
         """Return the mean ideal cost of a class, in seconds of one engine."""
-        total = sum(self.generate(shape, 0.0).cost for _ in range(samples))
+        total = sum(
+            self.generate(request_class, 0.0).cost for _ in range(samples)
+        )
         return total / samples
--- a/tests/cover/test_policy_bench.py
+++ b/tests/cover/test_policy_bench.py
@@ -16,9 +16,11 @@
 
 
 def make_result(cost, arrives, deadline):
-    shape = dataclasses.replace(workload.REPLY, total=deadline - arrives)
+    request_class = dataclasses.replace(
+        workload.REPLY, total=deadline - arrives
+    )
     request = workload.Request(
-        0, arrives, shape, ORGANISATION, 10, 10, "", 0, cost
+        0, arrives, request_class, ORGANISATION, 10, 10, "", 0, cost
     )
     return simulation.Result(request)
 
--- a/tests/cover/test_policy_situations.py
+++ b/tests/cover/test_policy_situations.py
@@ -75,7 +75,8 @@
     refused = [
         item
         for item in simulation.results
-        if item.outcome == "refused" and not item.request.shape.sheddable
+        if item.outcome == "refused"
+        and not item.request.request_class.sheddable
     ]
     assert refused == []
 
@@ -83,5 +84,7 @@
 def test_the_same_seed_gives_the_same_outcomes():
     first = policy_runs.simulated("steady")
     second = policy_runs.simulated("steady")
-    outcomes = [(item.outcome, item.ended) for item in first.results]
-    assert outcomes == [(item.outcome, item.ended) for item in second.results]
+    outcomes = [(item.outcome, item.ended_at) for item in first.results]
+    assert outcomes == [
+        (item.outcome, item.ended_at) for item in second.results
+    ]
--- a/tests/nocover/test_policy_outcomes.py
+++ b/tests/nocover/test_policy_outcomes.py
@@ -13,7 +13,7 @@
 
 
 @functools.cache
-def measured(scenario, policy=runs.OURS):
+def measured(scenario, policy=runs.ADAPTIVE):
     return runs.measure(runs.Run(scenario, policy, SEED))[1]
 
 
