--- a/bench/members.py
+++ b/bench/members.py
@@ -84,19 +84,22 @@
     ]
     print(
         f"serving at the worst node: {min(serving)}"
-        f" of {simulation.mix.servers}"
+        f" of {simulation.workload.servers}"
     )
     print("ms, median / 99th / worst over all nodes:")
     print(
         "  join",
-        quantiles(costs.join_seconds(simulation, simulation.mix.servers)),
+        quantiles(costs.join_seconds(simulation, simulation.workload.servers)),
     )
     leaves = []
     for index in range(5):
         leaves.extend(costs.leave_seconds(simulation, index))
     print("  leave", quantiles(leaves))
     print("  silent", quantiles(costs.silence_seconds(simulation, 6)))
-    print("  failed instance", quantiles(costs.fail_seconds(simulation, 1)))
+    print(
+        "  failed instance",
+        quantiles(costs.failure_detection_seconds(simulation, 1)),
+    )
     print(f"peak memory of the process: {costs.peak_memory_mb():.0f} MB")
 
 
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/flows.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/flows.py
@@ -15,8 +15,8 @@
 SIZES = {
     "9": costs.TODAY,
     "53": costs.MEDIUM,
-    "80": costs.Mix(80, 10, 5, 375, 240, 4, 1_500.0, 0.5),
-    "159": costs.Mix(159, 10, 5, 750, 480, 4, 3_000.0, 0.5),
+    "80": costs.Workload(80, 10, 5, 375, 240, 4, 1_500.0, 0.5),
+    "159": costs.Workload(159, 10, 5, 750, 480, 4, 3_000.0, 0.5),
     "530": costs.FULL,
 }
 # All nodes start at once and discover each other and all servers; the steady
@@ -50,19 +50,19 @@
 
 def measure(size, seed=0):
     """Return the flows of ordinary nodes and of relays at one size."""
-    mix = SIZES[size]
+    workload = SIZES[size]
     deployment, ordinary, relays = costs.steady(
-        mix, WARM_UP_SECONDS, MEASURED_SECONDS, seed
+        workload, WARM_UP_SECONDS, MEASURED_SECONDS, seed
     )
     now = deployment.net.now
     serving = [len(n.state.registry.serving(now)) for n in deployment.nodes]
     return [
         Flow(
             size,
-            mix.nodes,
-            mix.servers,
-            mix.organisations,
-            mix.requests,
+            workload.nodes,
+            workload.servers,
+            workload.organisations,
+            workload.requests,
             kind,
             rates.nodes,
             rates.bytes,
@@ -75,7 +75,7 @@
             seed,
             min(serving),
             statistics.median(serving),
-            serving.count(mix.servers),
+            serving.count(workload.servers),
         )
         for kind, rates in (("entry", ordinary), ("relay", relays))
         if rates is not None
@@ -120,7 +120,9 @@
 
 def _measure_domain_loss(deployment, size, steady):
     struck = deployment.domain_nodes(0)
-    servers = range(0, deployment.mix.servers, deployment.mix.domains)
+    servers = range(
+        0, deployment.workload.servers, deployment.workload.domains
+    )
     for node in struck:
         node.up = False
     deployment.silent.update(servers)
@@ -149,14 +151,15 @@
     others = [n for n in deployment.nodes if n not in struck]
     struck_names = [node.name for node in struck]
     other_names = [node.name for node in others]
-    deployment.net.separate(struck_names, other_names)
+    deployment.net.partition(struck_names, other_names)
     deployment.run(2 * WARM_UP_SECONDS)
     deployment.net.heal()
 
     def settled():
         now = deployment.net.now
         return all(
-            len(node.state.registry.serving(now)) == deployment.mix.servers
+            len(node.state.registry.serving(now))
+            == deployment.workload.servers
             for node in deployment.nodes
         )
 
@@ -177,7 +180,8 @@
     def settled():
         now = deployment.net.now
         return all(
-            len(node.state.registry.serving(now)) == deployment.mix.servers
+            len(node.state.registry.serving(now))
+            == deployment.workload.servers
             for node in struck
         )
 
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/members_costs.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/members_costs.py
@@ -1,7 +1,7 @@
 """Costs of membership, dissemination and usage, on simulated nodes.
 
 Each function builds a network of reducers, lets backend servers send
-announcements and organisations use tokens according to a given mix, and
+announcements and organisations use tokens according to a given workload, and
 returns the rates of the nodes.  bench/members.py prints the tables, and the
 capacity page takes its flows from :func:`steady`.
 """
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Mix:
+class Workload:
     """The size of a deployment and its load per second.
 
     Organisations are drawn with a weight of one over their rank, so that few
@@ -64,16 +64,16 @@
 
 
 MIN_NODES_TO_PRELOAD = 100
-TODAY = Mix()
-MEDIUM = Mix(53, 3, 1, 250, 160, 4, 1_000.0, 0.25)
-FULL = Mix(530, 10, 5, 2_500, 1_600, 4, 10_000.0, 0.5)
+TODAY = Workload()
+MEDIUM = Workload(53, 3, 1, 250, 160, 4, 1_000.0, 0.25)
+FULL = Workload(530, 10, 5, 2_500, 1_600, 4, 10_000.0, 0.5)
 
 
 class Deployment:
-    """A network of nodes under the load of a mix."""
+    """A network of nodes under a workload."""
 
-    def __init__(self, mix, seed=0, count_bytes=True):
-        self.mix = mix
+    def __init__(self, workload, seed=0, count_bytes=True):
+        self.workload = workload
         self.rng = random.Random(seed)
         self.net = simulated_nodes.Network(seed, count_bytes=count_bytes)
         self._sequence = 0
@@ -81,11 +81,13 @@
         self._tenth_of_second = 0
         self.silent = set()
         self._model_versions = {}
-        self._weights = [1.0 / (rank + 1) for rank in range(mix.organisations)]
-        for index in range(mix.nodes):
+        self._weights = [
+            1.0 / (rank + 1) for rank in range(workload.organisations)
+        ]
+        for index in range(workload.nodes):
             self.add_node(index)
         self.nodes = list(self.net.nodes.values())
-        if mix.nodes >= MIN_NODES_TO_PRELOAD:
+        if workload.nodes >= MIN_NODES_TO_PRELOAD:
             self._preload_members()
 
     def _preload_members(self):
@@ -100,14 +102,14 @@
                 node.state.members.learn(record, 0.0)
 
     def add_node(self, index):
-        domain = index % self.mix.domains
-        region = domain * self.mix.regions // self.mix.domains
+        domain = index % self.workload.domains
+        region = domain * self.workload.regions // self.workload.domains
         node = self.net.add(f"i{index:03}", f"fd{domain}", f"r{region}")
         self.net.apply(node, events.DayBegan(DAY))
 
     def domain_nodes(self, index):
         """Return the nodes in the failure domain of server ``index``."""
-        domain = f"fd{index % self.mix.domains}"
+        domain = f"fd{index % self.workload.domains}"
         return [item for item in self.nodes if item.domain == domain]
 
     def announcement(self, index, **fields):
@@ -122,7 +124,7 @@
             self._sequence,
             "model_engine",
             f"http://10.0.{index // 250}.{index % 250}:8000",
-            f"fd{index % self.mix.domains}",
+            f"fd{index % self.workload.domains}",
             [announcements.Model(f"model-{index % 16}", version)],
             slots=64,
             kv_tokens=500_000,
@@ -137,9 +139,11 @@
         self.net.announce(node, self.announcement(index, **fields))
 
     def run(self, seconds, watch=None):
-        """Advance time under the mix; each server announces every second."""
+        """Advance time under the workload; servers announce every second."""
         for _ in range(round(seconds / TICK_SECONDS)):
-            for index in range(self._tenth_of_second, self.mix.servers, 10):
+            for index in range(
+                self._tenth_of_second, self.workload.servers, 10
+            ):
                 if index not in self.silent:
                     self.announce(index)
             self._tenth_of_second = (self._tenth_of_second + 1) % 10
@@ -148,19 +152,19 @@
             self.net.run(TICK_SECONDS, watch)
 
     def _record_usage(self):
-        self._pending_requests += self.mix.requests * TICK_SECONDS
+        self._pending_requests += self.workload.requests * TICK_SECONDS
         count = int(self._pending_requests)
         self._pending_requests -= count
-        names = range(self.mix.organisations)
+        names = range(self.workload.organisations)
         for rank in self.rng.choices(names, self._weights, k=count):
             node = self.rng.choice(self.nodes)
-            class_name = f"class{self.rng.randrange(self.mix.classes)}"
+            class_name = f"class{self.rng.randrange(self.workload.classes)}"
             totals = usage.Totals(1, 500, 300, 0)
             node.state.usage.count(f"org{rank:04}", class_name, totals)
 
     def _change_at_random(self):
-        if self.rng.random() < self.mix.changes * TICK_SECONDS:
-            self.change(self.rng.randrange(self.mix.servers))
+        if self.rng.random() < self.workload.changes * TICK_SECONDS:
+            self.change(self.rng.randrange(self.workload.servers))
 
     def change(self, index):
         """Announce another version of the model of server ``index``."""
@@ -227,13 +231,13 @@
     return not members.full_mesh() and members.is_relay()
 
 
-def steady(mix, warm_up=10.0, seconds=8.0, seed=0):
+def steady(workload, warm_up=10.0, seconds=8.0, seed=0):
     """Return the deployment and its rates in the steady state.
 
     The rates are those of ordinary nodes and of relays, ``None`` without
     relays.
     """
-    deployment = Deployment(mix, seed)
+    deployment = Deployment(workload, seed)
     deployment.run(warm_up)
     deployment.reset()
     deployment.run(seconds)
@@ -281,7 +285,7 @@
     return deployment.seconds_until(stopped)
 
 
-def fail_seconds(deployment, number):
+def failure_detection_seconds(deployment, number):
     """Return the seconds until each other node considers one failed."""
     failed_node = deployment.nodes.pop(number)
     failed_node.up = False
@@ -304,7 +308,7 @@
 
 
 # Over all of these sizes the links have relays, as at full size.
-BASE_MIX = Mix(40, 4, 2, 160, 160, 4, 400.0, 0.2)
+BASE_WORKLOAD = Workload(40, 4, 2, 160, 160, 4, 400.0, 0.2)
 MIX_STEPS = (
     ("nodes", 80),
     ("servers", 480),
@@ -320,12 +324,12 @@
     ``requests`` and ``changes`` are rates per second of the whole system; a
     change is one of a backend server's record.
     """
-    base = steady(BASE_MIX, seconds=seconds)[1:]
+    base = steady(BASE_WORKLOAD, seconds=seconds)[1:]
     slopes_found = []
     for name, value in MIX_STEPS:
-        mix = dataclasses.replace(BASE_MIX, **{name: value})
-        step = value - getattr(BASE_MIX, name)
-        rates = steady(mix, seconds=seconds)[1:]
+        workload = dataclasses.replace(BASE_WORKLOAD, **{name: value})
+        step = value - getattr(BASE_WORKLOAD, name)
+        rates = steady(workload, seconds=seconds)[1:]
         for role, before, after in zip(("ordinary", "relay"), base, rates):
             slopes_found.append(
                 Slope(
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/simulated_nodes.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/simulated_nodes.py
@@ -116,7 +116,7 @@
         self.apply(node, events.Started(name))
         return node
 
-    def separate(self, one_side, other_side, both_ways=True):
+    def partition(self, one_side, other_side, both_ways=True):
         """Drop all messages from one side to the other."""
         for one in one_side:
             for other in other_side:
@@ -133,13 +133,13 @@
         started = time.process_time()
         out = node.reducer.apply(event, self.now + node.skew)
         node.cost.busy_seconds += time.process_time() - started
-        self._carry_out(node, out)
+        self._apply_effects(node, out)
 
     def announce(self, node, announcement):
         """Deliver a backend server's announcement to ``node``."""
         self.apply(node, events.Announced(announcement))
 
-    def _carry_out(self, node, out):
+    def _apply_effects(self, node, out):
         batches = {}
         for effect in out:
             if isinstance(effect, effects.SendPeer):
@@ -215,7 +215,7 @@
         started = time.process_time()
         out = node.reducer.tick(self.now + node.skew)
         node.cost.busy_seconds += time.process_time() - started
-        self._carry_out(node, out)
+        self._apply_effects(node, out)
 
     def _deliver(self, until):
         while self._queue and self._queue[0].due <= until:
--- a/tests/common/duty_world.py
+++ b/tests/common/duty_world.py
@@ -172,8 +172,8 @@
             return
         super().apply(node, event)
 
-    def _carry_out(self, node, out):
-        super()._carry_out(node, out)
+    def _apply_effects(self, node, out):
+        super()._apply_effects(node, out)
         for effect in out:
             if isinstance(effect, (effects.AppendLog, effects.ReplaceLog)):
                 self._append_to_disk(node, effect)
--- a/tests/cover/test_crash_news.py
+++ b/tests/cover/test_crash_news.py
@@ -37,7 +37,7 @@
     news = crash_news.CrashNews(count)
     inside = [node.name for node in news.nodes if node.domain == "fd0"]
     outside = [node.name for node in news.nodes if node.domain != "fd0"]
-    news.net.separate(inside, outside)
+    news.net.partition(inside, outside)
     end_three_servers(news, [news.net.nodes[name] for name in outside[:3]])
     news.net.run(5.0)
     assert news.blocking_instances("p") == set(outside)
--- a/tests/cover/test_duty_holders.py
+++ b/tests/cover/test_duty_holders.py
@@ -58,7 +58,7 @@
     made.serve(12.0)
     holder = made.holder()
     others = [name for name in made.nodes if name != holder]
-    made.separate([holder], others)
+    made.partition([holder], others)
     made.serve(20.0)
     assert made.holder() != holder
     made.heal()
@@ -206,7 +206,7 @@
     elif fault == "freeze":
         made.frozen.symmetric_difference_update({name} - {""})
     elif fault == "cut" and not made.cut:
-        made.separate([name], [item for item in made.nodes if item != name])
+        made.partition([name], [item for item in made.nodes if item != name])
     elif fault == "cut":
         made.heal()
     elif fault == "slow":
--- a/tests/cover/test_members.py
+++ b/tests/cover/test_members.py
@@ -53,7 +53,7 @@
     # Two instances cannot reach each other, but all others reach both.  Each
     # of the two has others probe its peer, so nobody is considered failed.
     network = make_network()
-    network.separate(["i0"], ["i5"])
+    network.partition(["i0"], ["i5"])
     network.run(30.0)
     assert all_alive(network)
     assert none_refuted(network)
@@ -99,7 +99,7 @@
     # and must not consider the eight others failed.
     network = make_network()
     others = [name for name in network.nodes if name != "i0"]
-    network.separate(["i0"], others)
+    network.partition(["i0"], others)
     network.run(30.0)
     members = network.nodes["i0"].state.members
     assert not members.hears_anybody(network.now)
@@ -119,7 +119,7 @@
     network = make_network()
     inside = ["i0", "i1", "i2"]
     outside = [name for name in network.nodes if name not in inside]
-    network.separate(inside, outside)
+    network.partition(inside, outside)
     network.run(20.0)
     own = network.nodes["i0"].state.members
     assert own.hears_anybody(network.now)
@@ -139,7 +139,7 @@
     # its own.
     network = make_network()
     others = [name for name in network.nodes if name != "i0"]
-    network.separate(others, ["i0"], both_ways=False)
+    network.partition(others, ["i0"], both_ways=False)
     network.run(20.0)
     assert not network.nodes["i0"].state.members.hears_anybody(network.now)
     for name in others[1:]:
--- a/tests/cover/test_partitions.py
+++ b/tests/cover/test_partitions.py
@@ -68,12 +68,12 @@
     @stateful.rule(one=NAME, other=NAME, both_ways=st.booleans())
     def path_is_cut(self, one, other, both_ways):
         if one != other:
-            self.net.separate([one], [other], both_ways)
+            self.net.partition([one], [other], both_ways)
 
     @stateful.rule(domain=st.integers(0, 2))
     def domain_is_cut_off(self, domain):
         inside = NAMES[2 * domain : 2 * domain + 2]
-        self.net.separate(inside, [x for x in NAMES if x not in inside])
+        self.net.partition(inside, [x for x in NAMES if x not in inside])
 
     @stateful.rule(loss=st.sampled_from([0.0, 0.3]))
     def messages_get_lost(self, loss):
--- a/tests/cover/test_relays.py
+++ b/tests/cover/test_relays.py
@@ -8,8 +8,8 @@
 
 
 def make_deployment():
-    mix = costs.Mix(24, 3, 1, 12, 5, 2, 10.0, 0.0)
-    deployment = costs.Deployment(mix, count_bytes=False)
+    workload = costs.Workload(24, 3, 1, 12, 5, 2, 10.0, 0.0)
+    deployment = costs.Deployment(workload, count_bytes=False)
     deployment.run(8.0)
     return deployment
 
@@ -108,7 +108,7 @@
     deployment = make_deployment()
     inside = [node.name for node in deployment.nodes if node.domain == "fd1"]
     outside = [node.name for node in deployment.nodes if node.domain != "fd1"]
-    deployment.net.separate(inside, outside)
+    deployment.net.partition(inside, outside)
     deployment.run(20.0)
     for node in deployment.nodes:
         reach = node.state.members.reach(deployment.net.now)
@@ -145,7 +145,7 @@
         3.0, lambda: observers_before.append(len(observers_of_silence()))
     )
     assert max(observers_before) == 0
-    deployment.net.separate(inside, [node.name for node in outside])
+    deployment.net.partition(inside, [node.name for node in outside])
     deployment.run(2.5)
     assert len(observers_of_silence()) == len(outside)
     deployment.net.heal()
--- a/tests/cover/test_server_records.py
+++ b/tests/cover/test_server_records.py
@@ -220,7 +220,7 @@
     network = nine_instances()
     announce_each_second(network, 3)
     rest = [name for name in network.nodes if name != "i1"]
-    network.separate(["i1"], rest)
+    network.partition(["i1"], rest)
     first = list(network.nodes.values())[0]
     network.announce(first, announcement(1, 10, leaving=True))
     network.run(0.2)
@@ -302,7 +302,7 @@
     network = nine_instances()
     announce_each_second(network, 3)
     cut = ["i6", "i7", "i8"]
-    network.separate(cut, [name for name in network.nodes if name not in cut])
+    network.partition(cut, [name for name in network.nodes if name not in cut])
     first = list(network.nodes.values())[0]
     for count in range(4):
         network.announce(first, announcement(1, 10 + count))
--- a/tests/cover/test_usage_ledger.py
+++ b/tests/cover/test_usage_ledger.py
@@ -209,7 +209,7 @@
 def test_partition_neither_loses_nor_doubles_a_count():
     network = usage_nodes.nine_instances()
     inside = ["i0", "i1", "i2"]
-    network.separate(
+    network.partition(
         inside, [name for name in network.nodes if name not in inside]
     )
     for index in range(60):
@@ -233,7 +233,7 @@
     # isolation; they must not fold its publisher in the meantime.
     network = usage_nodes.nine_instances()
     rest = [name for name in network.nodes if name != "i0"]
-    network.separate(["i0"], rest)
+    network.partition(["i0"], rest)
     network.run(30.0)
     for _ in range(30):
         network.nodes["i0"].state.usage.count(
@@ -281,7 +281,7 @@
     outside = [name for name in network.nodes if name not in inside]
     for name in inside:
         network.nodes[name].up = False
-    network.separate(inside, outside)
+    network.partition(inside, outside)
     for number, name in enumerate(inside):
         network.nodes.pop(name)
         usage_nodes.start_instance(network, name, "fd0", number)
