--- a/tests/common/certificates.py
+++ b/tests/common/certificates.py
@@ -1,4 +1,4 @@
-"""Two self-signed certificates for 127.0.0.1, of no use elsewhere."""
+"""Two self-signed certificates for 127.0.0.1 with keys, for tests only."""
 
 FIRST = """\
 -----BEGIN CERTIFICATE-----
--- a/tests/common/platform_world.py
+++ b/tests/common/platform_world.py
@@ -1,7 +1,7 @@
 """The programs of the users' platform on loopback, in one gevent loop.
 
-Each program has an address of 127.0.0.0/8 of its own, as each machine of the
-platform has, and a stand-in server speaks the platform's protocol by script.
+Each program has its own address in 127.0.0.0/8, as each instance on the
+platform has.  Scripted backend servers speak the platform's protocol.
 """
 
 import contextlib
@@ -48,24 +48,24 @@
 
 
 def free_ports(count):
-    """Return ports that are free on all of loopback."""
+    """Return ports that are free on all loopback addresses."""
     with contextlib.ExitStack() as stack:
-        held = []
+        ports = []
         for _ in range(count):
             sock = stack.enter_context(socket.socket())
             sock.bind(("0.0.0.0", 0))
-            held.append(sock.getsockname()[1])
-        return held
+            ports.append(sock.getsockname()[1])
+        return ports
 
 
 def new_ports():
-    """Return free ports for what a program listens on, by their names."""
+    """Return a free port for each listener of a program, by its name."""
     names = ("callers", "ready", "control", "inner")
     return dict(zip(names, free_ports(len(names))))
 
 
 def route(name, kind, **more):
-    """Return a route of the manifest as the operator sends it."""
+    """Return a manifest's route as the operator sends it."""
     return {
         "name": name,
         "hostname": HOST,
@@ -100,7 +100,10 @@
 
 
 class Reply:
-    """An answer that has come in: status, headers in lower case, body."""
+    """A received response: status, headers in lower case, and body.
+
+    ``whole`` is false if the body was cut short.
+    """
 
     def __init__(self, data):
         head, _, rest = data.partition(b"\r\n\r\n")
@@ -114,13 +117,13 @@
         self.whole = True
         self.body = rest
         if chunked:
-            self.body, self.whole = _dechunk(rest)
+            self.body, self.whole = _decode_chunked(rest)
         elif "content-length" in self.headers:
-            # Cut short by its length: a caller sees that it is not whole.
+            # A caller detects a truncated body by its length.
             self.whole = len(rest) == int(self.headers["content-length"])
 
 
-def _dechunk(data):
+def _decode_chunked(data):
     body = b""
     while data:
         size, _, data = data.partition(b"\r\n")
@@ -132,14 +135,15 @@
     return body, False
 
 
-# A server that starts again has a new id, also where its port is an old one.
-_starts = itertools.count(1)
+# Makes the id of each server unique, although ports may be reused.
+_start_numbers = itertools.count(1)
 
 
 class Server:
-    """A stand-in backend server; ``script(server, sock, head)`` answers.
+    """A backend server whose answers come from ``script(server, sock, head)``.
 
-    ``ran`` holds the heads of the requests that reached it.
+    ``ran`` holds the heads of the requests that it received.  If the script
+    returns ``"close"``, the connection is closed.
     """
 
     def __init__(self, ip, script):
@@ -150,7 +154,7 @@
         self._server = gevent_server.StreamServer((ip, 0), self._serve)
         self._server.start()
         self.address = f"{ip}:{self._server.server_port}"
-        self.id = f"i-{self._server.server_port}-{next(_starts)}"
+        self.id = f"i-{self._server.server_port}-{next(_start_numbers)}"
 
     def _serve(self, sock, address):
         buffered = b""
@@ -175,7 +179,7 @@
                     return
 
     def close(self):
-        """Stop; open connections end too."""
+        """Stop the server and close its open connections."""
         self._server.stop(0)
         for sock in list(self._open):
             with contextlib.suppress(OSError):
@@ -184,24 +188,24 @@
 
 def _header(head, name):
     for line in head.split("\r\n")[1:]:
-        held, _, value = line.partition(":")
-        if held.lower() == name:
+        field, _, value = line.partition(":")
+        if field.lower() == name:
             return value.strip()
     return ""
 
 
 def header(head, name):
-    """Return a header of a request that reached a server."""
+    """Return the value of a header in a request's head, or ''."""
     return _header(head, name.lower())
 
 
 def id_of(head):
-    """Return the id of a request that reached a server."""
+    """Return the request id in a request's head."""
     return header(head, "X-Dandeliontrail-Request-Id")
 
 
 def whole(status, body, request_id, extra=""):
-    """Return the bytes of a whole answer."""
+    """Return the bytes of a complete response."""
     return (
         f"HTTP/1.1 {status} X\r\nX-Dandeliontrail-Request-Id: {request_id}\r\n"
         f"{SEAL}: seal-{request_id}\r\nContent-Length: {len(body)}\r\n"
@@ -210,7 +214,7 @@
 
 
 def stream_head(request_id):
-    """Return the head of a stream."""
+    """Return the head of a streamed response."""
     return (
         "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
         f"X-Dandeliontrail-Request-Id: {request_id}\r\n"
@@ -219,12 +223,12 @@
 
 
 def chunk(data):
-    """Return ``data`` as one chunk."""
+    """Encode ``data`` as one chunk of a chunked body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 def event(number):
-    """Return one event of a stream."""
+    """Return one server-sent event."""
     return f"id: {number}\ndata: piece {number}\n\n".encode()
 
 
@@ -232,7 +236,7 @@
 
 
 class PlatformWorld:
-    """One keeper, any number of entries and stand-in servers."""
+    """One keeper, any number of entries and scripted servers."""
 
     def __init__(self, revoke_ms=5000):
         self._stack = contextlib.ExitStack()
@@ -250,13 +254,13 @@
         return self._stack.__exit__(*exc_info)
 
     def program(self, role):
-        """Start a program at an address of its own."""
+        """Start an entry or a keeper at its own address."""
         self._count += 1
         ip = f"127.0.0.{self._count}"
         folder = ""
         if role == "keeper":
             folder = self._stack.enter_context(tempfile.TemporaryDirectory())
-        given = settings_file.parse(
+        platform_settings = settings_file.parse(
             SETTINGS.format(
                 node=f"{role}-{self._count}",
                 ip=ip,
@@ -270,9 +274,13 @@
         )
         logger = logging.getLogger(f"test.{role}{self._count}")
         logger.propagate = False
-        face = programs.FACES[role](given, "")
+        face = programs.FACES[role](platform_settings, "")
         running = self._stack.enter_context(
-            instance.Instance(programs.settings_of(given), logger, face=face)
+            instance.Instance(
+                programs.instance_settings(platform_settings),
+                logger,
+                face=face,
+            )
         )
         running.ip = ip
         return running
@@ -284,20 +292,20 @@
         return started
 
     def ready(self, entry):
-        """Return the status of the balancer's question."""
+        """Return the status of an entry's readiness check."""
         return self.ask(
             entry, "GET", "/api/ready", port=self.ports["ready"]
         ).status
 
     def server(self, script, service="app"):
-        """Start a stand-in server and register it."""
-        made = Server("127.0.0.1", script)
-        self._stack.callback(made.close)
-        self.heartbeat(made, service)
-        return made
+        """Start a scripted server and register it."""
+        started = Server("127.0.0.1", script)
+        self._stack.callback(started.close)
+        self.heartbeat(started, service)
+        return started
 
     def heartbeat(self, server, service="app", **more):
-        """Send a heartbeat of a server; return the reply."""
+        """Send a heartbeat of a server and return the reply."""
         self._sequence += 1
         body = {
             "service": service,
@@ -312,14 +320,14 @@
         return self.control("PUT", f"/api/instances/{server.id}", body)
 
     def control(self, method, path, body=None):
-        """Call the keeper as an operator or a server does."""
+        """Send a request to the keeper's control listener."""
         data = msgspec.json.encode(body) if body is not None else b""
         return self.ask(
             self.keeper, method, path, body=data, port=self.ports["control"]
         )
 
     def apply(self, document):
-        """Send a manifest; return the reply."""
+        """Send a manifest and return the reply."""
         return self.control("PUT", "/api/config", document)
 
     def connect(self, running, port=None):
@@ -331,28 +339,28 @@
         return sock
 
     def ask(self, running, method, path, headers=(), body=b"", port=None):
-        """Send one request on a new connection; return the whole reply."""
+        """Send one request on a new connection and return the reply."""
         sock = self.connect(running, port)
         send(sock, method, path, [*headers, ("Connection", "close")], body)
         return Reply(read_to_end(sock))
 
     def call(self, entry, method, path, request_id="r1", **more):
-        """Send a caller's request; return the whole reply."""
+        """Send a caller's request and return the reply."""
         headers = caller_headers(request_id, **more)
         return self.ask(entry, method, path, headers, more.get("body", b""))
 
     def knows(self, entry, server):
-        """Wait until an entry knows a server."""
+        """Wait until an entry has registered a server."""
         registry = entry.host.state.registry
         world.wait_until(lambda: server.id in registry.servers)
 
 
 @contextlib.contextmanager
 def declared(routes=ROUTES):
-    """Give a world whose operator has declared ``routes``."""
-    with PlatformWorld() as made:
-        assert made.apply(manifest(1, routes)).status == 200
-        yield made
+    """Yield a world whose manifest has ``routes``."""
+    with PlatformWorld() as platform:
+        assert platform.apply(manifest(1, routes)).status == 200
+        yield platform
 
 
 def caller_headers(request_id, key=KEY, **more):
@@ -365,7 +373,7 @@
 
 
 def send(sock, method, path, headers=(), body=b""):
-    """Write a request."""
+    """Write one HTTP request to a socket."""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {HOST}"]
     lines += [f"{name}: {value}" for name, value in headers]
     if body:
@@ -374,7 +382,7 @@
 
 
 def read_to_end(sock):
-    """Read until the far end closes, however it does."""
+    """Read until the other end closes or resets the connection."""
     data = b""
     with gevent.Timeout(10.0), contextlib.suppress(ConnectionResetError):
         while True:
--- a/tests/common/sockets.py
+++ b/tests/common/sockets.py
@@ -1,4 +1,4 @@
-"""Servers of a few lines that misbehave on purpose."""
+"""Raw socket servers for tests of misbehaving servers."""
 
 import contextlib
 
@@ -7,7 +7,7 @@
 
 @contextlib.contextmanager
 def raw_server(handle):
-    """Serve ``handle(sock, address)`` and give the server's URL."""
+    """Serve ``handle(sock, address)`` and yield the server's URL."""
     listening = server.StreamServer(("127.0.0.1", 0), handle)
     listening.start()
     try:
@@ -17,7 +17,10 @@
 
 
 def read_request(sock):
-    """Read one request with its body and return it."""
+    """Read and return one request with its body.
+
+    If the other end closes early, return what has arrived.
+    """
     data = b""
     while b"\r\n\r\n" not in data:
         part = sock.recv(65536)
--- a/tests/common/world.py
+++ b/tests/common/world.py
@@ -1,7 +1,7 @@
-"""A small world on loopback: real instances and stand-in engines.
+"""Real instances and simulated engines on loopback for end-to-end tests.
 
-All run in the one gevent loop of the test, so that a test can reach into
-any of them, and cost a few milliseconds to start.
+All of them run in the gevent loop of the test and start within a few
+milliseconds, and a test can inspect the state of each.
 """
 
 import contextlib
@@ -22,14 +22,14 @@
 from tests.common import sockets
 
 KEY = "test-key"
-# The first instance of each world is its one keeper.
+# By default only this instance of a world is a keeper.
 FIRST = "i1"
 LISTENERS = ("callers", "backend_servers", "operators", "peers")
 WAIT_SECONDS = 15.0
 
 
 def wait_until(holds, seconds=WAIT_SECONDS):
-    """Wait until ``holds()`` is true, and fail when it never is."""
+    """Wait until ``holds()`` is true; fail after ``seconds``."""
     deadline = time.monotonic() + seconds
     while not holds():
         assert time.monotonic() < deadline, "waited in vain"
@@ -39,10 +39,10 @@
 def make_settings(
     name, domain="fd1", peers=(), keeper="", first=(FIRST,), **limits
 ):
-    """Return the settings of an instance on free ports of loopback.
+    """Return the settings of an instance on free loopback ports.
 
-    ``keeper`` is its folder where it has one, ``first`` names the first
-    keepers.
+    ``keeper`` is the data folder of a keeper, empty for other instances, and
+    ``first`` names the bootstrap keepers.
     """
     return settings.Settings(
         instance=name,
@@ -58,13 +58,13 @@
 
 
 class World:
-    """Instances and engines that are closed with the test."""
+    """Instances and engines that are stopped at the end of the test."""
 
     def __init__(self, keepers=(FIRST,)):
         self._stack = contextlib.ExitStack()
-        self._keepers = keepers
+        self._keeper_names = keepers
         self._folders = {}
-        self._closers = {}
+        self._exit_stacks = {}
         self.instances = []
         self.engines = []
 
@@ -75,27 +75,32 @@
         return self._stack.__exit__(*exc_info)
 
     def instance(self, name, domain="fd1", tls=None, **limits):
-        """Start an instance that knows those started before.
+        """Start an instance with those started before as its peers.
 
-        One that was stopped starts again from its folder.  ``tls`` has the
-        settings of listeners that speak TLS.
+        A keeper that was stopped restarts with its data folder.  ``tls`` maps
+        listeners to their TLS settings.
         """
         limits.setdefault("drain_notice_seconds", 0.0)
         peers = [item.addresses["peers"] for item in self.instances]
         cfg = make_settings(
-            name, domain, peers, self._folder(name), self._keepers, **limits
+            name,
+            domain,
+            peers,
+            self._folder(name),
+            self._keeper_names,
+            **limits,
         )
         cfg.tls.update(tls or {})
         logger = logging.getLogger(f"test.{name}")
         started = instance.Instance(cfg, logger)
-        closer = self._stack.enter_context(contextlib.ExitStack())
-        closer.enter_context(started)
-        self._closers[name] = closer
+        exit_stack = self._stack.enter_context(contextlib.ExitStack())
+        exit_stack.enter_context(started)
+        self._exit_stacks[name] = exit_stack
         self.instances.append(started)
         return started
 
     def _folder(self, name):
-        if name not in self._keepers:
+        if name not in self._keeper_names:
             return ""
         if name not in self._folders:
             folder = tempfile.TemporaryDirectory()
@@ -103,9 +108,9 @@
         return self._folders[name]
 
     def stop(self, started):
-        """Stop an instance; its folder stays."""
+        """Stop an instance and keep its data folder."""
         self.instances.remove(started)
-        self._closers.pop(started.host.state.identity.instance).close()
+        self._exit_stacks.pop(started.host.state.identity.instance).close()
 
     def engine(
         self,
@@ -119,29 +124,33 @@
     ):
         """Start an engine that announces itself to all instances in turn.
 
-        A ``fragile`` one stands behind a path that can lose track of its
-        connections: ``engine.path`` then is a :class:`paths.Path`.
+        A ``fragile`` engine is reached through a proxy that can drop the
+        state of its connections: the :class:`paths.Path` ``engine.path``.
         """
         pace = batch.Pace(step=step, step_per_stream=0.0, prefill=0.0)
-        served = engine.Engine(name, domain, ["small"], slots, pace, desk)
-        served.start()
-        self._stack.callback(served.stop)
-        self.engines.append(served)
+        started_engine = engine.Engine(
+            name, domain, ["small"], slots, pace, desk
+        )
+        started_engine.start()
+        self._stack.callback(started_engine.stop)
+        self.engines.append(started_engine)
         if fragile:
-            served.path = self._stack.enter_context(paths.Path(served.url))
-            served.announced_url = served.path.url
+            started_engine.path = self._stack.enter_context(
+                paths.Path(started_engine.url)
+            )
+            started_engine.announced_url = started_engine.path.url
         if announce:
             addresses = [
                 item.addresses["backend_servers"] for item in self.instances
             ]
-            announcer = gevent.spawn(served.announce, addresses)
+            announcer = gevent.spawn(started_engine.announce, addresses)
             self._stack.callback(announcer.kill)
             wait_until(lambda: self.knows(name))
-        return served
+        return started_engine
 
     def raw_server(self, name, url, **fields):
-        """Announce a server of the test's own, once and for a while."""
-        made = {
+        """Announce a server that the test runs, again every second."""
+        announcement = {
             "backend_server": name,
             "epoch": 1,
             "sequence": 1,
@@ -152,33 +161,35 @@
             "lease": 3,
             **fields,
         }
-        announcer = gevent.spawn(self._announce_raw, made)
+        announcer = gevent.spawn(self._announce_repeatedly, announcement)
         self._stack.callback(announcer.kill)
         wait_until(lambda: self.knows(name))
 
     def hung_engine(self, name):
-        """Announce an engine that takes connections and says nothing."""
-        hung = sockets.raw_server(lambda sock, address: gevent.sleep(1000.0))
-        self.raw_server(name, self._stack.enter_context(hung))
+        """Announce an engine that accepts connections but never answers."""
+        hung_server = sockets.raw_server(
+            lambda sock, address: gevent.sleep(1000.0)
+        )
+        self.raw_server(name, self._stack.enter_context(hung_server))
 
-    def _announce_raw(self, made):
+    def _announce_repeatedly(self, announcement):
         while True:
-            body = msgspec.json.encode(made)
+            body = msgspec.json.encode(announcement)
             for item in self.instances:
                 address = item.addresses["backend_servers"]
                 engine.post_announcement(address, body, {})
-            made["sequence"] += 1
+            announcement["sequence"] += 1
             gevent.sleep(1.0)
 
     def knows(self, server):
-        """Tell whether every instance gives work to a backend server."""
+        """Tell whether every instance has registered a backend server."""
         return all(
             server in item.host.state.registry.servers
             for item in self.instances
         )
 
     def apply(self, classes, organisations=None):
-        """Declare one pool of all engines, the classes and a caller."""
+        """Apply one pool of all engines, the classes and the organisations."""
         organisations = organisations or {
             "lab": {
                 "keys": [engine.key_hash(KEY)],
@@ -196,7 +207,7 @@
         wait_until(lambda: self.in_force(written["version"]))
 
     def in_force(self, version):
-        """Tell whether every instance has applied ``version`` and serves."""
+        """Tell whether every instance is ready and has applied ``version``."""
         return all(
             item.host.state.log.ready
             and item.host.state.store.version >= version
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Set up once for all tests: gevent first, then Hypothesis profiles.
+"""Patches the standard library with gevent and sets Hypothesis profiles.
 
-The ``ci`` profile is derandomised and knows no deadline, so that each run
-of CI gives the same verdict on a slow machine as on a fast one.
+The ``ci`` profile is derandomised and has no deadline, so that the result of
+a CI run does not depend on chance or on the speed of the machine.
 """
 
 from gevent import monkey
@@ -22,5 +22,5 @@
 )
 hypothesis.settings.load_profile(os.environ.get("HYPOTHESIS_PROFILE", "ci"))
 
-# The adapter is a folder beside the packages and is not installed.
+# The platform adapter is not an installed package.
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent / "platform"))
--- a/tests/cover/test_heartbeats.py
+++ b/tests/cover/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""What servers, and others, may say at the address for heartbeats."""
+"""Heartbeats and departures of servers, valid, malformed and delayed."""
 
 import logging
 import random
@@ -20,7 +20,7 @@
 from tests.common import world
 from tests.cover import test_forwarding
 
-BEAT = {
+HEARTBEAT = {
     "service": "app",
     "address": "10.0.0.9:8080",
     "zone": "a",
@@ -33,47 +33,56 @@
 
 
 def body_of(**changed):
-    return msgspec.json.encode({**BEAT, **changed})
+    return msgspec.json.encode({**HEARTBEAT, **changed})
 
 
-def heard(registry, name="i-1", at=0.0, **changed):
-    """Have ``registry`` hear a heartbeat; tell whether it was news."""
-    announcement = registration.decode(name, body_of(**changed), registry)
+def learn_heartbeat(registry, name="i-1", at=0.0, **changed):
+    """Pass a heartbeat to ``registry``; tell whether it changed a record."""
+    announcement = registration.decode_heartbeat(
+        name, body_of(**changed), registry
+    )
     return registry.learn(announcement, 0.0, at)
 
 
 def test_a_server_that_starts_again_under_its_id_is_used_at_once():
-    # A server crashes at its 40th heartbeat and starts again under the same
-    # id; its counts start anew.  Taken for late words of the first one, its
-    # heartbeats would renew nothing until the 41st.
+    # A server crashes after its 40th heartbeat and restarts with the same id
+    # and a new sequence.  If its heartbeats were taken for delayed ones of the
+    # first incarnation, they would not renew its lease until the 41st.
     registry = servers.ServerRegistry(longest_lease=12.0)
-    heard(registry, sequence=40, born=1000)
-    assert heard(registry, at=1.0, sequence=1, born=2000)
+    learn_heartbeat(registry, sequence=40, born=1000)
+    assert learn_heartbeat(registry, at=1.0, sequence=1, born=2000)
     held = registry.servers["i-1"]
     assert held.announcement.order() == (2000, 1)
     assert held.serves(12.5)
-    # A heartbeat of the first incarnation that was held up changes nothing.
-    assert not heard(registry, at=2.0, sequence=41, born=1000)
+    # A delayed heartbeat of the first incarnation changes nothing.
+    assert not learn_heartbeat(registry, at=2.0, sequence=41, born=1000)
     assert held.announcement.order() == (2000, 1)
 
 
 def test_a_departure_of_an_earlier_incarnation_takes_nobody_out():
-    # A server says that it leaves, ends and starts again; its word comes
-    # through a slow keeper after the first heartbeat of the new one.
+    # A server announces its departure, stops and restarts.  A slow keeper
+    # delivers the departure after the first heartbeat of the new incarnation.
     registry = servers.ServerRegistry(longest_lease=12.0)
-    heard(registry, sequence=40, born=1000)
-    heard(registry, at=1.0, sequence=1, born=2000)
-    assert registration.departure("i-1", b'{"born":1000}', registry) is None
-    assert registration.departure("i-1", b'{"born":2000}', registry).leaving
-    assert registration.departure("i-1", b"", registry).leaving
+    learn_heartbeat(registry, sequence=40, born=1000)
+    learn_heartbeat(registry, at=1.0, sequence=1, born=2000)
+    assert (
+        registration.decode_departure("i-1", b'{"born":1000}', registry)
+        is None
+    )
+    assert registration.decode_departure(
+        "i-1", b'{"born":2000}', registry
+    ).leaving
+    assert registration.decode_departure("i-1", b"", registry).leaving
 
 
 def test_a_server_that_left_may_come_back_under_its_id():
     registry = servers.ServerRegistry(longest_lease=12.0)
-    heard(registry, sequence=40, born=1000)
-    registry.learn(registration.departure("i-1", b"", registry), 0.0, 1.0)
-    assert not heard(registry, at=2.0, sequence=41, born=1000)
-    assert heard(registry, at=2.0, sequence=1, born=2000)
+    learn_heartbeat(registry, sequence=40, born=1000)
+    registry.learn(
+        registration.decode_departure("i-1", b"", registry), 0.0, 1.0
+    )
+    assert not learn_heartbeat(registry, at=2.0, sequence=41, born=1000)
+    assert learn_heartbeat(registry, at=2.0, sequence=1, born=2000)
     assert registry.servers["i-1"].serves(3.0)
 
 
@@ -82,10 +91,10 @@
 )
 def test_a_heartbeat_that_lacks_a_field_names_no_server(name):
     body = msgspec.json.encode(
-        {key: value for key, value in BEAT.items() if key != name}
+        {key: value for key, value in HEARTBEAT.items() if key != name}
     )
     with pytest.raises(wsgi.Problem):
-        registration.decode("i-1", body, servers.ServerRegistry())
+        registration.decode_heartbeat("i-1", body, servers.ServerRegistry())
 
 
 @pytest.mark.parametrize(
@@ -120,20 +129,22 @@
 )
 def test_a_heartbeat_with_a_strange_field_names_no_server(changed):
     with pytest.raises(wsgi.Problem) as caught:
-        registration.decode(
+        registration.decode_heartbeat(
             "i-1", body_of(**changed), servers.ServerRegistry()
         )
     assert caught.value.status == 400
 
 
 def test_who_does_not_say_when_it_started_is_no_server_where_others_do():
-    # All servers of the deployment say when they started.  An entry of
-    # another writer does not, and names an address where nobody serves.
+    # All servers of the deployment send their start time.  Another program
+    # registers an entry without one, with an address that nobody serves.
     registry = servers.ServerRegistry()
-    heard(registry, born=1000)
+    learn_heartbeat(registry, born=1000)
     with pytest.raises(wsgi.Problem):
-        registration.decode("i-2", body_of(), registry)
-    other = registration.decode("i-2", body_of(service="other"), registry)
+        registration.decode_heartbeat("i-2", body_of(), registry)
+    other = registration.decode_heartbeat(
+        "i-2", body_of(service="other"), registry
+    )
     assert other.epoch == 0
 
 
@@ -153,12 +164,12 @@
     ),
     max_leaves=5,
 )
-NAMES = st.sampled_from([*BEAT, "born", "models", "stage"]) | st.text(
-    max_size=5
-)
+FIELD_NAMES = st.sampled_from(
+    [*HEARTBEAT, "born", "models", "stage"]
+) | st.text(max_size=5)
 BODIES = st.binary(max_size=200) | st.dictionaries(
-    NAMES, VALUES, max_size=8
-).map(lambda fields: msgspec.json.encode({**BEAT, **fields}))
+    FIELD_NAMES, VALUES, max_size=8
+).map(lambda fields: msgspec.json.encode({**HEARTBEAT, **fields}))
 
 
 @hypothesis.given(st.text(max_size=10), BODIES, st.booleans())
@@ -166,8 +177,12 @@
     name, body, leaves
 ):
     registry = servers.ServerRegistry(longest_lease=12.0)
-    heard(registry, "i-good", born=1000)
-    read = registration.departure if leaves else registration.decode
+    learn_heartbeat(registry, "i-good", born=1000)
+    read = (
+        registration.decode_departure
+        if leaves
+        else registration.decode_heartbeat
+    )
     try:
         found = read(name, body, registry)
     except wsgi.Problem as problem:
@@ -182,9 +197,10 @@
 
 
 def test_what_was_known_of_an_engine_goes_with_its_incarnation():
-    # An engine crashes with ten prompts and starts again under its name.
-    # Counted as busy and as holding parts that it lost, it would get no work
-    # while it idles, and then work that it must read from the beginning.
+    # An engine crashes while it runs ten prompts and restarts under its name.
+    # If the policy kept its load and its cached prompt parts, the idle engine
+    # would get no requests, and later requests whose prompts it must read
+    # from the beginning.
     play = shared_play.Play(count=1)
     (server,) = play.directory.servers
     name = server.announcement.backend_server
@@ -207,64 +223,65 @@
     assert [item.text for item in play.policy.take_beliefs()] == [
         "backend server restarted"
     ]
-    # What it ran before ends now, and is not taken off what it runs next.
+    # The end of an earlier attempt does not reduce the new incarnation's load.
     ended = work_module.Ended(first.request_id, name, failed=True)
     play.policy.ended(ended, play.now)
     work = play.review(0)
     assert play.next()[work.request_id] == name
     (load,) = play.policy.own_loads()
     assert load.running == 1
-    # It has to read the shared part again: nothing is kept of before.
+    # The shared part counts as unread again: the cache was lost.
     assert load.unread == 16_000
 
 
 def test_the_programs_drop_what_they_held_of_an_earlier_incarnation():
-    # A server starts again under its id.  An entry still has a connection to
-    # the first incarnation; an order sent over it may or may not have run,
-    # and its caller would be told so, though the new one could have run it.
-    with platform_world.PlatformWorld() as made:
-        assert made.apply(platform_world.manifest(1)).status == 200
+    # A server restarts with the same id while an entry still has an idle
+    # connection to the first incarnation.  A request sent over it may or may
+    # not have run, and its caller would get that answer although the new
+    # incarnation could have run the request.
+    with platform_world.PlatformWorld() as platform:
+        assert platform.apply(platform_world.manifest(1)).status == 200
         entry, (server,) = test_forwarding.start(
-            made, test_forwarding.answers(200, b"done")
+            platform, test_forwarding.answers(200, b"done")
         )
-        made.heartbeat(server, born=1000)
+        platform.heartbeat(server, born=1000)
         registry = entry.host.state.registry
         world.wait_until(
             lambda: registry.servers[server.id].announcement.epoch == 1000
         )
         gevent.sleep(0.2)
-        assert made.call(entry, "POST", "/order/", "r1").status == 200
+        assert platform.call(entry, "POST", "/order/", "r1").status == 200
         (pool,) = entry.host._pools
-        # The caller has its answer a moment before the connection is kept.
+        # The caller gets its answer just before the connection becomes idle.
         world.wait_until(lambda: any(pool._idle.values()))
-        made.heartbeat(server, born=2000, sequence=1)
+        platform.heartbeat(server, born=2000, sequence=1)
         world.wait_until(lambda: not pool._idle)
-        assert made.call(entry, "POST", "/order/", "r2").status == 200
+        assert platform.call(entry, "POST", "/order/", "r2").status == 200
         record = registry.servers[server.id]
         assert record.announcement.order() == (2000, 1)
 
 
 def test_strange_words_leave_a_line_in_the_log_and_change_nothing():
-    told = []
-    with platform_world.PlatformWorld() as made:
+    log_records = []
+    with platform_world.PlatformWorld() as platform:
         handler = logging.Handler(logging.WARNING)
-        handler.emit = told.append
-        made.keeper.host.logger.addHandler(handler)
+        handler.emit = log_records.append
+        platform.keeper.host.logger.addHandler(handler)
         server = types.SimpleNamespace(id="i-x", address="10.0.0.1:80")
-        reply = made.heartbeat(server, state="sleeping" * 100)
+        reply = platform.heartbeat(server, state="sleeping" * 100)
         assert reply.status == 400
-        assert made.heartbeat(server, sequence="1").status == 400
-        broken = made.ask(
-            made.keeper,
+        assert platform.heartbeat(server, sequence="1").status == 400
+        broken = platform.ask(
+            platform.keeper,
             "PUT",
             "/api/instances/i-x",
             body=random.Random(1).randbytes(500),
-            port=made.ports["control"],
+            port=platform.ports["control"],
         )
         assert broken.status == 400
-        assert not made.keeper.host.state.registry.servers
-        made.keeper.host.logger.removeHandler(handler)
-    assert [item.msg for item in told] == [
+        assert not platform.keeper.host.state.registry.servers
+        platform.keeper.host.logger.removeHandler(handler)
+    assert [item.msg for item in log_records] == [
         "backend server's word rejected"
     ] * 3
-    assert all(len(item.reason) <= 200 for item in told)
+    assert all(len(item.reason) <= 200 for item in log_records)
--- a/tests/cover/test_platform_settings.py
+++ b/tests/cover/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, and what is said where it is wrong."""
+"""Parsing of the platform's settings file, and its error messages."""
 
 import json
 import os
@@ -11,7 +11,7 @@
 from dandeliontrail_platform import settings_file
 import pytest
 
-GOOD = """
+VALID_SETTINGS = """
 node_name=front-a-1
 ip=10.1.0.40
 zone=a
@@ -28,22 +28,27 @@
 
 
 def test_reads_units_and_ignores_what_it_does_not_know():
-    found = settings_file.parse(GOOD)
+    found = settings_file.parse(VALID_SETTINGS)
     assert found.bounds.key_revocation == 5.0
     assert found.inner_port == 7340
     assert found.first_start
 
 
 def test_seeds_become_peers_at_the_inner_port():
-    found = settings_file.parse(GOOD)
-    assert programs.peers_of(found) == ["10.1.0.43:7340", "10.2.0.32:7340"]
-    cfg = programs.settings_of(found)
+    found = settings_file.parse(VALID_SETTINGS)
+    assert programs.peer_addresses(found) == [
+        "10.1.0.43:7340",
+        "10.2.0.32:7340",
+    ]
+    cfg = programs.instance_settings(found)
     assert cfg.bootstrap_keepers == ["10.1.0.43", "10.2.0.32"]
     assert cfg.keeper is None
 
 
 def test_without_strict_revocation_any_age_will_do():
-    text = GOOD.replace("strict_revocation=true", "strict_revocation=false")
+    text = VALID_SETTINGS.replace(
+        "strict_revocation=true", "strict_revocation=false"
+    )
     assert settings_file.parse(text).bounds.key_revocation is None
 
 
@@ -52,7 +57,9 @@
 )
 def test_a_missing_key_is_named_with_its_remedy(key):
     text = "\n".join(
-        line for line in GOOD.splitlines() if not line.startswith(f"{key}=")
+        line
+        for line in VALID_SETTINGS.splitlines()
+        if not line.startswith(f"{key}=")
     )
     with pytest.raises(dandeliontrail.SettingsError) as caught:
         settings_file.parse(text)
@@ -61,22 +68,23 @@
 
 
 def test_a_number_that_is_none_is_named():
-    text = GOOD.replace("revoke_ms=5000", "revoke_ms=soon")
+    text = VALID_SETTINGS.replace("revoke_ms=5000", "revoke_ms=soon")
     with pytest.raises(dandeliontrail.SettingsError, match="bounds.revoke_ms"):
         settings_file.parse(text)
 
 
 @pytest.mark.parametrize(
-    "words, settings", [(["nobody"], "here"), ([], "here"), (["entry"], None)]
+    "arguments, settings",
+    [(["nobody"], "here"), ([], "here"), (["entry"], None)],
 )
-def test_a_start_that_cannot_work_says_how_it_could(words, settings):
+def test_a_start_that_cannot_work_says_how_it_could(arguments, settings):
     env = dict(os.environ)
     env.pop("DANDELIONTRAIL_CONFIG", None)
     if settings:
         env["DANDELIONTRAIL_CONFIG"] = settings
     launch = pathlib.Path(__file__).parents[2] / "platform/launch.py"
     found = subprocess.run(
-        [sys.executable, str(launch), *words],
+        [sys.executable, str(launch), *arguments],
         env=env,
         capture_output=True,
         timeout=30,
--- a/tests/cover/test_routes.py
+++ b/tests/cover/test_routes.py
@@ -1,4 +1,4 @@
-"""Whole configurations: what is refused, what is in force, who finds what."""
+"""Decoding and validation of manifests, and routing by host and path."""
 
 import dandeliontrail
 from dandeliontrail.decisions import routing
@@ -10,7 +10,7 @@
 from tests.common import platform_world
 
 
-def decoded(**changed):
+def decode_manifest(**changed):
     document = platform_world.manifest(1)
     document.update(changed)
     return manifest.decode(msgspec.json.encode(document))
@@ -23,7 +23,7 @@
 
 
 def test_can_read_a_manifest_with_the_units_of_the_product():
-    found = decoded()
+    found = decode_manifest()
     read, order, chat, report = found.routes
     assert read.timeout == 2.0
     assert chat.longest_pause == 0.3
@@ -66,7 +66,7 @@
 )
 def test_refuses_what_makes_no_sense(changed):
     with pytest.raises(dandeliontrail.ResourceInvalid):
-        decoded(**changed)
+        decode_manifest(**changed)
 
 
 def test_refuses_a_manifest_that_is_cut_short():
@@ -82,7 +82,7 @@
         route("a", "/a/"),
         route("ab", "/a/b/"),
     ]
-    return routing.RoutingTable(decoded(routes=routes))
+    return routing.RoutingTable(decode_manifest(routes=routes))
 
 
 @pytest.mark.parametrize(
--- a/tests/cover/test_whole_path.py
+++ b/tests/cover/test_whole_path.py
@@ -1,4 +1,4 @@
-"""From a caller to an engine and back, over real sockets on loopback."""
+"""Requests from a caller to an engine and back over loopback sockets."""
 
 import gevent
 import geventhttpclient
@@ -18,10 +18,10 @@
 
 
 def test_can_serve_streamed_and_whole_answers():
-    with world.World() as made:
-        one = made.instance("i1")
-        made.engine("e1")
-        made.apply(LOOKUP)
+    with world.World() as test_world:
+        one = test_world.instance("i1")
+        test_world.engine("e1")
+        test_world.apply(LOOKUP)
         for streamed in (True, False):
             answer = client.send(ask(one, stream=streamed, max_tokens=5))
             assert answer.complete
@@ -34,12 +34,12 @@
 
 
 def test_cut_stream_never_looks_whole():
-    # The engine dies in the middle of an answer.  A non-repeatable request
-    # cannot go elsewhere, so the caller must see an error and no [DONE].
-    with world.World() as made:
-        one = made.instance("i1")
-        served = made.engine("e1", step=0.02)
-        made.apply({"summary": {"repeatable": False}})
+    # The engine fails in the middle of an answer.  A non-repeatable request
+    # cannot be retried, so the caller must get an error and no [DONE].
+    with world.World() as test_world:
+        one = test_world.instance("i1")
+        served = test_world.engine("e1", step=0.02)
+        test_world.apply({"summary": {"repeatable": False}})
         job = gevent.spawn(client.send, ask(one, max_tokens=500))
         world.wait_until(lambda: served.batch.begun)
         gevent.sleep(0.1)
@@ -51,10 +51,10 @@
 
 
 def test_unknown_key_is_told_so_without_a_run():
-    with world.World() as made:
-        one = made.instance("i1")
-        served = made.engine("e1")
-        made.apply(LOOKUP)
+    with world.World() as test_world:
+        one = test_world.instance("i1")
+        served = test_world.engine("e1")
+        test_world.apply(LOOKUP)
         asked = ask(one)
         asked.key = "wrong"
         answer = client.send(asked)
@@ -64,18 +64,18 @@
 
 
 def test_instances_learn_of_each_others_backend_servers():
-    with world.World() as made:
-        made.instance("i1", "fd1")
-        made.instance("i2", "fd2")
-        made.engine("e1")
-        assert made.knows("e1")
+    with world.World() as test_world:
+        test_world.instance("i1", "fd1")
+        test_world.instance("i2", "fd2")
+        test_world.engine("e1")
+        assert test_world.knows("e1")
 
 
 def test_refusal_before_intake_carries_an_id_and_not_run():
-    # A caller who reports a failure has no id to name: bodies that could
-    # not be read were answered without one, and as a fault of the server.
-    with world.World() as made:
-        one = made.instance("i1")
+    # Requests with unreadable bodies were answered without a request id, so
+    # that callers could not report them, and with a server error.
+    with world.World() as test_world:
+        one = test_world.instance("i1")
         found = geventhttpclient.HTTPClient(
             *one.addresses["callers"].rsplit(":", 1)
         )
--- a/tests/soak/launch.py
+++ b/tests/soak/launch.py
@@ -1,11 +1,11 @@
-"""Starts a program of the platform where its surroundings can be spoilt.
+"""Starts a program of the platform in an environment that injects faults.
 
 Usage: python tests/soak/launch.py entry|keeper
 
-The program is the real one.  From the environment: ``SOAK_PEERS`` is where
-its peer listener stands, behind the proxy at its usual address;
-``SOAK_CLOCK`` is by how many seconds the time of day is off;
-``SOAK_DISK`` a folder in which a file ``stall`` makes each sync wait and a
+The program itself is unchanged.  Environment variables: ``SOAK_PEERS`` is
+the address of its peer listener, which is behind the proxy at the usual
+address; ``SOAK_CLOCK`` is the offset of the wall clock in seconds;
+``SOAK_DISK`` is a folder in which a file ``stall`` makes each sync wait and a
 file ``full`` makes it fail.
 """
 
@@ -27,22 +27,22 @@
 import launch  # noqa: E402
 
 POLL_SECONDS = 0.02
-PARENT_SECONDS = 1.0
+PARENT_POLL_SECONDS = 1.0
 _sleep = monkey.get_original("time", "sleep")
 
 
-def spoil_clock(seconds):
-    """Set the time of day off by some seconds."""
+def offset_clock(seconds):
+    """Offset the wall clock by ``seconds``."""
     time_ns, now = time.time_ns, time.time
     time.time_ns = lambda: time_ns() + int(seconds * 1e9)
     time.time = lambda: now() + seconds
 
 
-def spoil_disk(folder):
-    """Have syncs wait or fail while a file in ``folder`` says so."""
+def inject_disk_faults(folder):
+    """Make syncs wait or fail while ``folder`` has the file for it."""
     folder = pathlib.Path(folder)
 
-    def spoilt(sync):
+    def with_faults(sync):
         def call(descriptor):
             # Runs on a thread of the pool, as the sync itself does.
             while (folder / "stall").exists():
@@ -53,42 +53,42 @@
 
         return call
 
-    os.fsync = spoilt(os.fsync)
-    os.fdatasync = spoilt(os.fdatasync)
+    os.fsync = with_faults(os.fsync)
+    os.fdatasync = with_faults(os.fdatasync)
 
 
-def stand_behind(peers):
-    """Listen for peers at ``peers`` and advertise the usual address."""
-    settings_of = launch.programs.settings_of
+def listen_behind_proxy(peers):
+    """Listen for peers at ``peers`` but advertise the usual address."""
+    original = launch.programs.instance_settings
 
-    def moved(given):
-        cfg = settings_of(given)
+    def settings_behind_proxy(platform_settings):
+        cfg = original(platform_settings)
         cfg.listen.peers_advertised = cfg.listen.peers
         cfg.listen.peers = peers
         return cfg
 
-    launch.programs.settings_of = moved
+    launch.programs.instance_settings = settings_behind_proxy
 
 
-def end_with_parent():
-    """End where the soak has ended without ending this program.
+def exit_with_parent():
+    """Exit when the soak has ended without stopping this program.
 
-    A soak that was killed left its programs behind, which held the addresses
-    that the same seed takes again: every later run of it failed to start.
+    Programs that a killed soak left behind kept the addresses that the same
+    seed uses again, so that every later run of this seed failed to start.
     """
     parent = os.getppid()
 
     def watch():
         while os.getppid() == parent:
-            gevent.sleep(PARENT_SECONDS)
+            gevent.sleep(PARENT_POLL_SECONDS)
         os._exit(1)
 
     gevent.spawn(watch)
 
 
 if __name__ == "__main__":
-    end_with_parent()
-    spoil_clock(float(os.environ["SOAK_CLOCK"]))
-    spoil_disk(os.environ["SOAK_DISK"])
-    stand_behind(os.environ["SOAK_PEERS"])
+    exit_with_parent()
+    offset_clock(float(os.environ["SOAK_CLOCK"]))
+    inject_disk_faults(os.environ["SOAK_DISK"])
+    listen_behind_proxy(os.environ["SOAK_PEERS"])
     sys.exit(launch.main(sys.argv[1]))
