--- a/tests/common/prompt_world.py
+++ b/tests/common/prompt_world.py
@@ -1,11 +1,12 @@
-"""Many instances before model engines that keep prompt parts, without sockets.
-
-The policy is the real one, one object an instance.  The engines read prompts
-in chunks between the tokens of their streams and keep what they have read
-until its room is needed.  What instances tell one another of their work
-arrives late, as through relays.  Callers ask, come back once after a refusal,
-and leave when their time is up, or a stream has been silent for too long.  An
-engine that is silent keeps its stream until another one goes on with it.
+"""A simulation of many instances and model engines with prefix caches.
+
+It needs no sockets and runs in virtual time.  Each instance has its own
+object of the real policy.  The engines prefill prompts in chunks between the
+decode steps of their streams, and evict what they have cached when its memory
+is needed.  The load reports that instances send to one another arrive late,
+as they do through relays.  Callers retry once after a refusal, and give up at
+their deadline or when a stream has been silent for too long.  A silent engine
+keeps its stream until a hedge at another engine takes over.
 """
 
 import collections
@@ -27,58 +28,62 @@
 from tests.common import prompt_engine
 
 SERVICE = prompt_engine.SERVICE
-TICK = 0.1
-# Two moments that are the same but for rounding.
-EPSILON = 1e-6
+TICK_SECONDS = 0.1
+# Tolerance, in seconds, for comparing times in spite of rounding.
+TIME_TOLERANCE_SECONDS = 1e-6
 
 
 @dataclasses.dataclass(slots=True)
-class Kind:
+class RequestKind:
     """One kind of request; times in seconds, sizes in tokens.
 
-    ``things`` is how many different shared parts there are.  ``own`` and
-    ``output`` are means of exponential laws; with a ``spread``, ``own`` is
-    that of a log-normal one with this deviation of the logarithm.  A request
-    may begin at so many engines as ``attempts`` says.
+    ``rate`` is in requests per second, and ``shared_parts`` is the number of
+    different shared parts.  ``mean_own_tokens`` and ``mean_output_tokens``
+    are the means of exponential distributions; with a ``log_deviation``,
+    ``mean_own_tokens`` is the mean of a log-normal distribution whose
+    logarithm has this standard deviation.  ``max_attempts`` is the largest
+    number of attempts per request.
     """
 
     name: str
     rate: float
-    things: int
-    shared: int
-    own: int
-    output: int
-    target: float
+    shared_parts: int
+    shared_tokens: int
+    mean_own_tokens: int
+    mean_output_tokens: int
+    first_token_seconds: float
     deadline: float
-    pause: float
+    max_pause: float
     priority: int
-    spread: float = 0.0
-    attempts: int = 1
-
-    def draw_own(self, rng):
-        """Return how many tokens of a prompt are its own."""
-        if not self.spread:
-            return max(50, int(rng.expovariate(1 / self.own)))
-        scale = math.log(self.own) - self.spread**2 / 2
-        drawn = rng.lognormvariate(scale, self.spread)
-        return int(min(max(50, drawn), MOST_OWN * self.own))
+    log_deviation: float = 0.0
+    max_attempts: int = 1
+
+    def draw_own_tokens(self, rng):
+        """Draw the number of prompt tokens that no other request shares."""
+        if not self.log_deviation:
+            return max(50, int(rng.expovariate(1 / self.mean_own_tokens)))
+        scale = math.log(self.mean_own_tokens) - self.log_deviation**2 / 2
+        drawn = rng.lognormvariate(scale, self.log_deviation)
+        return int(
+            min(max(50, drawn), MAX_OWN_TOKENS_FACTOR * self.mean_own_tokens)
+        )
 
-    def silence(self):
-        """Return for how long a caller bears a stream that is silent."""
-        return max(2.0, 4 * self.target, 8 * self.pause)
+    def max_silence(self):
+        """Return after how many silent seconds a caller gives up."""
+        return max(2.0, 4 * self.first_token_seconds, 8 * self.max_pause)
 
 
-# The longest prompts, in parts of the mean of their kind.
-MOST_OWN = 8.0
+# The size of the longest prompts, as a multiple of the mean of their kind.
+MAX_OWN_TOKENS_FACTOR = 8.0
 
-# What the two users send, at the size they have grown to.
-REVIEW = Kind("review", 103, 1269, 13300, 3720, 120, 2.0, 8.0, 1.5, 2)
-SUMMARY = Kind("summary", 48.8, 638, 6300, 2890, 54, 1.2, 5.0, 0.6, 1)
-CHAT = Kind("chat", 113, 1478, 350, 1110, 174, 1.2, 10.0, 0.4, 0)
+# The traffic of the two users at its present size.
+REVIEW = RequestKind("review", 103, 1269, 13300, 3720, 120, 2.0, 8.0, 1.5, 2)
+SUMMARY = RequestKind("summary", 48.8, 638, 6300, 2890, 54, 1.2, 5.0, 0.6, 1)
+CHAT = RequestKind("chat", 113, 1478, 350, 1110, 174, 1.2, 10.0, 0.4, 0)
 
 
 class Instance:
-    """One instance with its policy, and what it heard of the others."""
+    """One instance: its policy and the load reports of the others."""
 
     def __init__(self, world, number, domain):
         self.world = world
@@ -89,85 +94,87 @@
             identity=types.SimpleNamespace(failure_domain=domain),
         )
         limits = retry_budget.RetryLimits(0.2, 220.0, 10.0)
-        view = view_module.FixedView(world.count_of_instances)
+        view = view_module.FixedView(world.instance_count)
         self.policy = shared.Shared(random.Random(number), view, state, limits)
 
     def decide(self):
-        """Place or refuse what waits here."""
+        """Place or refuse the requests that wait at this instance."""
         world = self.world
         for item in self.policy.next(world.now, world):
             if isinstance(item, work_module.Placement):
-                world.placed(self, item)
+                world.dispatch(self, item)
             else:
-                world.refused(self, item)
+                world.handle_refusal(self, item)
 
 
 class World:
-    """All of it, in virtual time.
+    """The instances, the engines and the clock of the simulation.
 
-    ``lag`` is how old the others' word is when it arrives, and how often it
-    does.
+    ``lag`` is both the age of load reports on arrival and the interval at
+    which they are sent, in seconds.
     """
 
-    def __init__(self, instances, engines, kinds, lag=0.3, pace=None, seed=1):
+    def __init__(
+        self, instances, engines, kinds, lag=0.3, config=None, seed=1
+    ):
         self.rng = random.Random(seed)
         self.now = 0.0
         self.kinds = {kind.name: kind for kind in kinds}
-        self.pace = pace or prompt_engine.Pace()
-        self.table = _table(kinds, self.pace)
+        self.config = config or prompt_engine.EngineConfig()
+        self.table = _routing_table(kinds, self.config)
         self.lag = lag
         self._events = []
         self._order = 0
         self._count = 0
-        self.count_of_instances = instances
+        self.instance_count = instances
         self.engines = {}
         self.servers = []
         for number in range(engines):
             name = f"e{number}"
-            self.engines[name] = prompt_engine.Engine(name, self.pace, self)
+            self.engines[name] = prompt_engine.Engine(name, self.config, self)
             self.servers.append(
-                prompt_engine.server_of(number, slots=self.pace.slots)
+                prompt_engine.server_of(number, slots=self.config.slots)
             )
         self.instances = [
             Instance(self, number, f"fd{number % 3}")
             for number in range(instances)
         ]
-        # By request: its stream, and the one beside it where it is silent.
+        # The streams by request id, and the hedges of silent streams.
         self.streams = {}
         self.hedges = {}
         self.requests = []
-        self.silences = collections.Counter()
-        self.overtaken = collections.Counter()
-        self.asked = collections.Counter()
+        self.hedges_sought = collections.Counter()
+        self.hedges_won = collections.Counter()
+        self.arrivals = collections.Counter()
         self.on_time = collections.Counter()
         self.late = collections.Counter()
         self.refusals = collections.Counter()
         self.read_tokens = 0
-        self.read_again = 0
-        self.hits = 0
-        self._seen = set()
-        self.busiest = collections.Counter()
+        self.reread_tokens = 0
+        self.hit_tokens = 0
+        self._parts_read = set()
+        self.placements = collections.Counter()
 
     def of_service(self, service):
-        """Return the servers, as the policy's directory."""
+        """Return the servers; the policy uses this as its directory."""
         return self.servers
 
     # -- time -------------------------------------------------------------
 
-    def at(self, when, call, *args):
-        """Have ``call`` made at a moment."""
+    def schedule(self, when, call, *args):
+        """Schedule ``call`` for the time ``when``."""
         self._order += 1
         heapq.heappush(self._events, (when, self._order, call, args))
 
     def run(self, seconds, bursts=()):
-        """Play ``seconds``; ``bursts`` are (kind, begin, end, factor)."""
+        """Simulate ``seconds``; ``bursts`` are (kind, begin, end, factor)."""
         for kind in self.kinds.values():
-            self._arrivals(kind, seconds, bursts)
-        steps = int(seconds / TICK) + 1
+            self._schedule_arrivals(kind, seconds, bursts)
+        steps = int(seconds / TICK_SECONDS) + 1
         for step in range(steps):
-            self.at(step * TICK, self._tick)
+            self.schedule(step * TICK_SECONDS, self._tick)
         for step in range(int(seconds / self.lag)):
-            self.at(step * self.lag, self._tell)
+            self.schedule(step * self.lag, self._send_loads)
         while self._events:
             when, _, call, args = heapq.heappop(self._events)
             if when > seconds + 10.0:
@@ -175,7 +182,7 @@
             self.now = when
             call(*args)
 
-    def _arrivals(self, kind, seconds, bursts):
+    def _schedule_arrivals(self, kind, seconds, bursts):
         at = 0.0
         while at < seconds:
             factor = 1.0
@@ -183,19 +190,19 @@
                 if name == kind.name and begin <= at < end:
                     factor = times
             at += self.rng.expovariate(kind.rate * factor)
-            self.at(at, self._ask, kind, at)
+            self.schedule(at, self._create_request, kind, at)
 
     def _tick(self):
         for instance in self.instances:
             instance.decide()
 
-    def _tell(self):
-        """Let what all instances do now reach the others after the lag."""
+    def _send_loads(self):
+        """Send the load reports of all instances, to arrive after the lag."""
         loads = [item.policy.own_loads() for item in self.instances]
         reads = [item.policy.take_reads() for item in self.instances]
-        self.at(self.now + self.lag, self._heard, loads, reads)
+        self.schedule(self.now + self.lag, self._receive_loads, loads, reads)
 
-    def _heard(self, loads, reads):
+    def _receive_loads(self, loads, reads):
         total = collections.defaultdict(lambda: [0, 0])
         for said in loads:
             for load in said:
@@ -213,29 +220,29 @@
                     instance.policy.heard_reads(said, self.now)
             instance.decide()
 
-    # -- a request's life -------------------------------------------------
+    # -- the life cycle of a request --------------------------------------
 
-    def _ask(self, kind, asked):
-        """Have a new request asked for."""
+    def _create_request(self, kind, asked):
+        """Create a new request and send it to a random instance."""
         rng = self.rng
         instance = rng.choice(self.instances)
-        own = kind.draw_own(rng)
-        thing = int(kind.things * rng.random() ** 1.25)
-        output = max(1, int(rng.expovariate(1 / kind.output)))
-        self.asked[kind.name] += 1
-        request = prompt_engine.Request(kind, asked, own, thing, output)
+        own = kind.draw_own_tokens(rng)
+        shared_part = int(kind.shared_parts * rng.random() ** 1.25)
+        output = max(1, int(rng.expovariate(1 / kind.mean_output_tokens)))
+        self.arrivals[kind.name] += 1
+        request = prompt_engine.Request(kind, asked, own, shared_part, output)
         self.requests.append(request)
         self._submit(request, instance)
 
     def _submit(self, request, instance):
-        """Send a request, for the first time or once more."""
+        """Submit a request to the policy, for the first time or as a retry."""
         self._count += 1
         kind = request.kind
         parts = (
-            (f"{kind.name}{request.thing}", kind.shared),
-            (f"own{self._count}", request.own),
+            (f"{kind.name}{request.shared_part}", kind.shared_tokens),
+            (f"own{self._count}", request.own_tokens),
         )
-        deadline = request.sent + kind.deadline
+        deadline = request.first_sent_at + kind.deadline
         work = work_module.Work(
             f"r{self._count}",
             "acme",
@@ -245,195 +252,202 @@
             kind.priority,
             self.now,
             deadline,
-            prompt_tokens=kind.shared + request.own,
-            max_output_tokens=request.output,
-            first_token_ms=kind.target * 1000.0,
-            between_tokens_ms=kind.pause * 1000.0,
+            prompt_tokens=kind.shared_tokens + request.own_tokens,
+            max_output_tokens=request.output_tokens,
+            first_token_ms=kind.first_token_seconds * 1000.0,
+            between_tokens_ms=kind.max_pause * 1000.0,
             parts=parts,
             routed=True,
             streamed=True,
-            max_attempts=kind.attempts,
-            repeatable=kind.attempts > 1,
+            max_attempts=kind.max_attempts,
+            repeatable=kind.max_attempts > 1,
             start_priority=kind.priority,
             route_priority=kind.priority,
         )
         stream = prompt_engine.Stream(work, instance, request)
-        stream.event_at = self.now
+        stream.last_event_at = self.now
         self.streams[work.request_id] = stream
-        self.at(deadline, self._time_up, work.request_id)
+        self.schedule(deadline, self._expire, work.request_id)
         self._watch_caller(work.request_id)
         instance.policy.offer(work, self.now)
         instance.decide()
 
-    def placed(self, instance, placement):
-        """Send a request to its engine."""
+    def dispatch(self, instance, placement):
+        """Send a request to the engine that the policy chose."""
         work = placement.work
-        self.busiest[placement.server] += 1
+        self.placements[placement.server] += 1
         stream = self.streams[work.request_id]
         if placement.hedge:
-            stream.begun += 1
-            stream = stream.elsewhere()
+            stream.attempts_begun += 1
+            stream = stream.copy_for_hedge()
             self.hedges[work.request_id] = stream
         else:
-            stream.begun += 1
+            stream.attempts_begun += 1
         stream.server = placement.server
-        waits = patience.of_attempt(work, stream.begun - 1)
-        stream.sent = self.now
-        self.at(
+        timeouts = patience.of_attempt(work, stream.attempts_begun - 1)
+        stream.sent_at = self.now
+        self.schedule(
             self.now + 0.002, self.engines[placement.server].submit, stream
         )
-        self._watch_engine(stream, waits)
+        self._watch_engine(stream, timeouts)
 
-    def _watch_engine(self, stream, waits):
-        """Look for another engine once this one is silent for too long."""
-        if stream.gone or self.streams.get(stream.work.request_id) is None:
+    def _watch_engine(self, stream, timeouts):
+        """Request a hedge when the engine has been silent for too long."""
+        if stream.closed or self.streams.get(stream.work.request_id) is None:
             return
-        heard = max(stream.sent, stream.event_at)
-        limit = waits.between if stream.made else waits.first
+        last_heard_at = max(stream.sent_at, stream.last_event_at)
+        limit = timeouts.between if stream.generated else timeouts.first
         if limit is None:
             return
-        if self.now >= heard + limit - EPSILON:
-            self._silent(stream)
-            heard = self.now
-        self.at(heard + limit, self._watch_engine, stream, waits)
+        if self.now >= last_heard_at + limit - TIME_TOLERANCE_SECONDS:
+            self._seek_hedge(stream)
+            last_heard_at = self.now
+        self.schedule(
+            last_heard_at + limit, self._watch_engine, stream, timeouts
+        )
 
-    def _silent(self, stream):
+    def _seek_hedge(self, stream):
         work = stream.work
         is_first = self.streams[work.request_id] is stream
-        if not is_first or stream.sought or stream.begun >= work.max_attempts:
+        if (
+            not is_first
+            or stream.hedge_sought
+            or stream.attempts_begun >= work.max_attempts
+        ):
             return
-        self.silences[stream.request.kind.name] += 1
-        stream.sought = True
+        self.hedges_sought[stream.request.kind.name] += 1
+        stream.hedge_sought = True
         work.avoid.add(stream.server)
         stream.instance.policy.seek(work, self.now)
         stream.instance.decide()
 
-    def spoke(self, stream):
-        """Take note of an event: what else has the request is let go."""
+    def handle_event(self, stream):
+        """Record an event and cancel the other attempt of the request."""
         request_id = stream.work.request_id
         first = self.streams.get(request_id)
         hedge = self.hedges.get(request_id)
         if stream is hedge:
             del self.hedges[request_id]
             self.streams[request_id] = hedge
-            self.overtaken[stream.request.kind.name] += 1
-            self._let_go(first, failed=True)
-        elif first is stream and stream.sought:
-            self._drop_hedge(stream)
-        if stream.here == 1 and stream.made > 1:
+            self.hedges_won[stream.request.kind.name] += 1
+            self._cancel(first, failed=True)
+        elif first is stream and stream.hedge_sought:
+            self._cancel_hedge(stream)
+        if stream.generated_here == 1 and stream.generated > 1:
             stream.instance.policy.first_output(request_id, self.now)
 
-    def _drop_hedge(self, stream):
-        """Look for nothing beside a stream any more, and keep nothing."""
-        if not stream.sought:
+    def _cancel_hedge(self, stream):
+        """Cancel the hedge of a stream, whether sought or already running."""
+        if not stream.hedge_sought:
             return
-        stream.sought = False
+        stream.hedge_sought = False
         request_id = stream.work.request_id
         stream.instance.policy.stop_seeking(request_id)
         hedge = self.hedges.pop(request_id, None)
         if hedge is not None:
-            self._let_go(hedge, wasted=True)
+            self._cancel(hedge, wasted=True)
 
-    def _let_go(self, stream, **how):
-        stream.gone = True
+    def _cancel(self, stream, **how):
+        stream.closed = True
         ended = work_module.Ended(stream.work.request_id, stream.server, **how)
         stream.instance.policy.ended(ended, self.now)
 
     def _watch_caller(self, request_id):
-        """Let a caller leave whose stream has been silent for too long."""
+        """End a request when its caller has seen no event for too long."""
         stream = self.streams.get(request_id)
         if stream is None:
             return
-        leaves = stream.event_at + stream.request.kind.silence()
-        if self.now >= leaves - EPSILON:
-            self._time_up(request_id)
+        leaves = stream.last_event_at + stream.request.kind.max_silence()
+        if self.now >= leaves - TIME_TOLERANCE_SECONDS:
+            self._expire(request_id)
         else:
-            self.at(leaves, self._watch_caller, request_id)
+            self.schedule(leaves, self._watch_caller, request_id)
 
-    def refused(self, instance, refusal):
-        """Tell the caller, who comes back once if there is time."""
+    def handle_refusal(self, instance, refusal):
+        """Refuse a request; its caller retries once if there is time."""
         stream = self.streams.pop(refusal.work.request_id)
-        stream.gone = True
+        stream.closed = True
         request = stream.request
         self.refusals[request.kind.name] += 1
         wait = refusal.nothing.retry_after or 0.0
-        left = request.sent + request.kind.deadline - self.now
-        if not request.tries and wait < left / 3:
-            request.tries += 1
-            self.at(self.now + max(0.01, wait), self._again, request)
+        left = request.first_sent_at + request.kind.deadline - self.now
+        if not request.retries and wait < left / 3:
+            request.retries += 1
+            self.schedule(self.now + max(0.01, wait), self._retry, request)
 
-    def _again(self, request):
+    def _retry(self, request):
         self._submit(request, self.rng.choice(self.instances))
 
-    def _time_up(self, request_id):
+    def _expire(self, request_id):
         stream = self.streams.get(request_id)
         if stream is not None:
-            self._lost(request_id)
+            self._abandon(request_id)
 
-    def _lost(self, request_id):
-        """End a request without its whole answer."""
+    def _abandon(self, request_id):
+        """End a request whose answer is incomplete."""
         stream = self.streams.pop(request_id)
-        stream.gone = True
-        self._drop_hedge(stream)
+        stream.closed = True
+        self._cancel_hedge(stream)
         instance = stream.instance
         if instance.policy.withdraw(request_id) is None:
             ended = work_module.Ended(request_id, "", wasted=True)
             instance.policy.ended(ended, self.now)
         instance.decide()
 
-    def first(self, stream):
-        """Take note of a first token; a late one counts as a long pause."""
-        waited = self.now - stream.request.sent
-        if waited > stream.request.kind.target:
-            stream.longest = 1e9
+    def handle_first_token(self, stream):
+        """Record a first token; if it is late, it counts as a long pause."""
+        waited = self.now - stream.request.first_sent_at
+        if waited > stream.request.kind.first_token_seconds:
+            stream.longest_pause_seen = 1e9
         stream.instance.policy.first_output(stream.work.request_id, self.now)
         stream.instance.decide()
 
-    def finished(self, stream):
-        """Take note of a whole answer."""
-        self._drop_hedge(stream)
+    def handle_finished(self, stream):
+        """Record a complete answer."""
+        self._cancel_hedge(stream)
         del self.streams[stream.work.request_id]
         request = stream.request
         ended = work_module.Ended(
-            stream.work.request_id, "", output_tokens=request.output
+            stream.work.request_id, "", output_tokens=request.output_tokens
         )
         stream.instance.policy.ended(ended, self.now)
         request.served = True
-        if stream.longest <= request.kind.pause:
+        if stream.longest_pause_seen <= request.kind.max_pause:
             self.on_time[request.kind.name] += 1
         else:
             self.late[request.kind.name] += 1
         stream.instance.decide()
 
-    def served_by_size(self, kind):
-        """Return the share served of the largest tenth, and of all."""
+    def served_fractions(self, kind):
+        """Return the fractions served: of the largest tenth, and of all."""
         asked = [item for item in self.requests if item.kind.name == kind]
         asked.sort(key=prompt_engine.Request.size)
         largest = asked[-(len(asked) // 10) :]
-        return _share_served(largest), _share_served(asked)
+        return _served_fraction(largest), _served_fraction(asked)
 
-    # -- what engines read ------------------------------------------------
+    # -- cache statistics of the engines ----------------------------------
 
-    def hit(self, stream, tokens):
-        """Take note of tokens that an engine held."""
-        self.hits += tokens
+    def record_cache_hit(self, stream, tokens):
+        """Count prompt tokens found in an engine's cache."""
+        self.hit_tokens += tokens
 
-    def read(self, stream, name, tokens):
-        """Take note of tokens that an engine reads."""
+    def record_read(self, stream, name, tokens):
+        """Count prompt tokens that an engine reads."""
         self.read_tokens += tokens
-        if name in self._seen:
-            self.read_again += tokens
-        self._seen.add(name)
+        if name in self._parts_read:
+            self.reread_tokens += tokens
+        self._parts_read.add(name)
 
     def report(self):
-        """Return the figures as text, a line a kind."""
+        """Return the statistics as text, with one line per kind."""
         lines = [
             f"read {self.read_tokens / 1e6:.1f}M, again"
-            f" {self.read_again / 1e6:.1f}M, kept {self.hits / 1e6:.1f}M"
+            f" {self.reread_tokens / 1e6:.1f}M, kept"
+            f" {self.hit_tokens / 1e6:.1f}M"
         ]
-        mean = sum(self.busiest.values()) / len(self.engines)
-        lines[0] += f", busiest {max(self.busiest.values()) / mean:.2f}"
-        for name, asked in self.asked.items():
+        mean = sum(self.placements.values()) / len(self.engines)
+        lines[0] += f", busiest {max(self.placements.values()) / mean:.2f}"
+        for name, asked in self.arrivals.items():
             lines.append(
                 f"{name}: asked {asked}, on time"
                 f" {self.on_time[name] / asked:.3f}, late"
@@ -443,11 +457,11 @@
         return "\n".join(lines)
 
 
-def _share_served(requests):
+def _served_fraction(requests):
     return sum(item.served for item in requests) / len(requests)
 
 
-def _table(kinds, pace):
+def _routing_table(kinds, config):
     split = [revisions.Split(SERVICE)]
     routes = [
         revisions.Route(
@@ -457,10 +471,12 @@
             split,
             kind.deadline,
             priority=kind.priority,
-            longest_pause=kind.pause,
+            longest_pause=kind.max_pause,
         )
         for kind in kinds
     ]
-    engine = revisions.Engine(pace.slots, pace.kv_tokens, pace.event)
+    engine = revisions.Engine(
+        config.slots, config.kv_tokens, config.tokens_per_event
+    )
     service = revisions.Service(SERVICE, 800, engine)
     return routing.RoutingTable(revisions.Revision(1, "", routes, [service]))
--- a/tests/cover/test_prompt_world.py
+++ b/tests/cover/test_prompt_world.py
@@ -1,4 +1,4 @@
-"""What callers get on a heavy day, with many instances and stale news."""
+"""Service levels under bursts, with many instances and stale load reports."""
 
 import dataclasses
 
@@ -7,116 +7,123 @@
 from tests.common import prompt_engine
 from tests.common import prompt_world
 
-# A third of the size that the users have grown to, and what instances hear
-# of one another through relays is 0.4 s old at the mean.
+# A third of the users' present size.  Load reports that arrive through relays
+# are 0.4 s old on average.
 INSTANCES = 30
 ENGINES = 15
-LAG = 0.27
-SECONDS = 16.0
+LAG_SECONDS = 0.27
+DURATION_SECONDS = 16.0
 
 
 def kinds():
-    """Return what callers send, at a third of the grown rates."""
+    """Return the kinds of requests, at a third of their present rates."""
     return [
-        dataclasses.replace(prompt_world.REVIEW, rate=21, things=423),
-        dataclasses.replace(prompt_world.SUMMARY, rate=10, things=213),
-        dataclasses.replace(prompt_world.CHAT, rate=23, things=493),
+        dataclasses.replace(prompt_world.REVIEW, rate=21, shared_parts=423),
+        dataclasses.replace(prompt_world.SUMMARY, rate=10, shared_parts=213),
+        dataclasses.replace(prompt_world.CHAT, rate=23, shared_parts=493),
     ]
 
 
-def played(seed):
-    """Return the world after a burst of the longest prompts."""
-    world = prompt_world.World(INSTANCES, ENGINES, kinds(), LAG, seed=seed)
-    world.run(SECONDS, (("review", 0.5, 9.5, 2.76),))
+def simulate_burst(seed):
+    """Simulate a burst of the longest prompts and return the world."""
+    world = prompt_world.World(
+        INSTANCES, ENGINES, kinds(), LAG_SECONDS, seed=seed
+    )
+    world.run(DURATION_SECONDS, (("review", 0.5, 9.5, 2.76),))
     return world
 
 
 @pytest.mark.parametrize("seed", (1, 2, 3))
 def test_a_burst_of_long_prompts_is_not_read_anew(seed):
-    # From the first second on, nearly three times the usual number of long
-    # prompts comes.  Thirty instances choose the engine that seemed idle to
-    # all of them 0.4 s ago: it gets ten prompts at once, its streams crawl,
-    # and each shared part is read at one engine after the other.
+    # From the first second on, long prompts arrive at nearly three times the
+    # usual rate.  Thirty instances choose the engine that was idle in all of
+    # their reports 0.4 s ago.  It gets ten prompts at once, its streams become
+    # slow, and each shared part is read by one engine after the other.
     #
-    # Free to choose any engine: 3.6 to 4.0 million tokens read again, 0.26
-    # to 0.27 of the reviews on time.  Two engines by hash: 1.3 to 1.5
-    # million, 0.46 to 0.58.
-    world = played(seed)
-    assert world.read_again < 2.2e6
-    assert world.on_time["review"] / world.asked["review"] > 0.4
+    # With a free choice of engines, 3.6 to 4.0 million tokens are read again
+    # and 0.26 to 0.27 of the reviews are on time.  With two engines chosen by
+    # hash, it is 1.3 to 1.5 million tokens and 0.46 to 0.58.
+    world = simulate_burst(seed)
+    assert world.reread_tokens < 2.2e6
+    assert world.on_time["review"] / world.arrivals["review"] > 0.4
 
 
 @pytest.mark.parametrize("seed", (1, 2, 3))
 def test_more_urgent_prompts_are_on_time_beside_a_burst(seed):
-    # Summaries are more urgent than the reviews that fill all engines.  Held
-    # back until an engine has next to nothing to read, they wait behind
-    # whatever less urgent prompt another instance sends first.
+    # Summaries have a higher priority than the reviews that fill all engines.
+    # If they were queued until an engine has almost nothing left to read,
+    # they would wait behind less urgent prompts that other instances send.
     #
-    # With one limit for all 0.66 to 0.68 on time, with more room for the
-    # more urgent 0.85 to 0.90.
-    world = played(seed)
-    assert world.on_time["summary"] / world.asked["summary"] > 0.8
+    # With one limit for all priorities, 0.66 to 0.68 are on time; with a
+    # higher limit for the more urgent requests, 0.85 to 0.90.
+    world = simulate_burst(seed)
+    assert world.on_time["summary"] / world.arrivals["summary"] > 0.8
 
 
-def after_a_shift(reviews, summaries, chats, seed, bursts=()):
-    """Return the world after other work than it was sized for."""
+def simulate_shift(reviews, summaries, chats, seed, bursts=()):
+    """Simulate a mix of requests that the engines were not sized for."""
     mix = [
-        dataclasses.replace(prompt_world.REVIEW, rate=reviews, things=282),
-        dataclasses.replace(prompt_world.SUMMARY, rate=summaries, things=319),
-        dataclasses.replace(prompt_world.CHAT, rate=chats, things=328),
+        dataclasses.replace(
+            prompt_world.REVIEW, rate=reviews, shared_parts=282
+        ),
+        dataclasses.replace(
+            prompt_world.SUMMARY, rate=summaries, shared_parts=319
+        ),
+        dataclasses.replace(prompt_world.CHAT, rate=chats, shared_parts=328),
     ]
-    world = prompt_world.World(25, ENGINES, mix, LAG, seed=seed)
-    world.run(SECONDS, bursts)
+    world = prompt_world.World(25, ENGINES, mix, LAG_SECONDS, seed=seed)
+    world.run(DURATION_SECONDS, bursts)
     return world
 
 
 def test_more_engines_are_kept_for_more_close_streams():
-    # Most of what callers send are short chats whose events must follow one
-    # another closely.  The fifth of the engines that was kept for them read
-    # so many of their prompts that pauses grew long, and what went to the
-    # others stood still beside long prompts, while these had room to spare.
+    # Most requests are short chats that allow only short pauses between
+    # events.  When a fixed fifth of the engines was reserved for them, these
+    # engines read so many prompts that pauses grew long, and the chats at
+    # other engines stalled beside long prompts, although these had capacity
+    # to spare.
     #
-    # A fixed fifth: 0.70 of the chats on time; as many as the chats under
-    # way need: 0.81.
-    worlds = [after_a_shift(7, 7, 130, seed) for seed in (1, 2, 3)]
+    # With a fixed fifth, 0.70 of the chats are on time; with as many engines
+    # as the running chats need, 0.81.
+    worlds = [simulate_shift(7, 7, 130, seed) for seed in (1, 2, 3)]
     on_time = sum(world.on_time["chat"] for world in worlds)
-    assert on_time / sum(world.asked["chat"] for world in worlds) > 0.75
+    assert on_time / sum(world.arrivals["chat"] for world in worlds) > 0.75
 
 
-# A quarter of the grown further customer: engines of 12 slots, and prompts
-# whose sizes differ a hundredfold.
-SMALL_ENGINE = prompt_engine.Pace(
-    step=0.00297,
-    stream=0.0000222,
-    reading=101_000.0,
-    chunk=1024,
+# A quarter of the present traffic of a further user: engines with 12 slots,
+# and prompts whose sizes differ by a factor of a hundred.
+SMALL_ENGINE = prompt_engine.EngineConfig(
+    step_seconds=0.00297,
+    seconds_per_stream=0.0000222,
+    read_tokens_per_second=101_000.0,
+    chunk_tokens=1024,
     slots=12,
     kv_tokens=471_241,
-    event=11,
+    tokens_per_event=11,
 )
-BRIEF = prompt_world.Kind(
+BRIEF = prompt_world.RequestKind(
     "brief", 35, 175, 5382, 6610, 382, 1.2, 10.0, 0.6, 2, 1.4, 2
 )
-QUERY = prompt_world.Kind(
+QUERY = prompt_world.RequestKind(
     "query", 22, 401, 198, 628, 291, 0.2, 8.0, 0.15, 0, 1.0, 1
 )
-TAG = prompt_world.Kind(
+TAG = prompt_world.RequestKind(
     "tag", 46, 366, 568, 1800, 22, 0.3, 2.5, 0.25, 1, 1.3, 2
 )
 
 
-def after_a_burst_of_all_sizes(seed, times):
-    """Return the world after a burst of prompts of very unlike sizes."""
+def simulate_mixed_burst(seed, times):
+    """Simulate a burst of prompts of very different sizes."""
     world = prompt_world.World(
-        18, 14, [BRIEF, QUERY, TAG], LAG, SMALL_ENGINE, seed
+        18, 14, [BRIEF, QUERY, TAG], LAG_SECONDS, SMALL_ENGINE, seed
     )
-    world.run(SECONDS, (("brief", 0.5, 9.5, times),))
+    world.run(DURATION_SECONDS, (("brief", 0.5, 9.5, times),))
     return world
 
 
 @pytest.mark.parametrize("times", (3.1, 4.0))
 @pytest.mark.parametrize("seed", (1, 2, 3))
 def test_the_largest_prompts_are_not_starved_by_smaller_ones(seed, times):
-    world = after_a_burst_of_all_sizes(seed, times)
-    largest, every = world.served_by_size("brief")
+    world = simulate_mixed_burst(seed, times)
+    largest, every = world.served_fractions("brief")
     assert largest > every / 2
