--- a/tests/cover/test_platform_soak.py
+++ b/tests/cover/test_platform_soak.py
@@ -1,26 +1,26 @@
-"""A short soak of the real programs, and every seed that ever failed."""
+"""Short fault soaks of the real programs, with every seed that failed."""
 
 import pytest
 
 from tests.soak import run
 
-# Seeds that once showed a broken promise, with a line on the cause.
-FAILED = (
+# Seeds that once violated a guarantee, with the cause.
+FAILED_SEEDS = (
     # A fault that overlapped with a planned stop started the same entry a
-    # second time, which ended with an ERROR line: its address was in use.
-    # The soak's own fault, and what seed 101 had shown once.
+    # second time; that process failed with an ERROR line because its address
+    # was in use.  This was a bug of the soak, and seed 101 had it once too.
     (22, 25.0),
     (3, 25.0),
-    # SIGHUP ended an entry that was still loading its modules.
+    # SIGHUP terminated an entry that was still loading its modules.
     (12, 25.0),
-    # A stop was sent to an entry that ended at that moment and was started
-    # again; the new process, which nobody had stopped, was waited for.  The
-    # soak's own fault.
+    # SIGTERM was sent to an entry that ended at that moment and was started
+    # again.  The soak then waited for the new process, which had got no
+    # signal.  This was a bug of the soak.
     (75, 12.0),
 )
 
 
-@pytest.mark.parametrize(("seed", "seconds"), [(101, 6.0), *FAILED])
+@pytest.mark.parametrize(("seed", "seconds"), [(101, 6.0), *FAILED_SEEDS])
 def test_no_promise_is_broken_under_faults(seed, seconds):
     report = run.soak(seed, seconds)
     assert report.findings == {}
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,11 +1,12 @@
-"""A randomised fault soak over the platform's programs as real processes.
+"""Randomised fault injection against the platform's programs.
 
     python -m tests.soak --seed 7 --seconds 40
 
-Faults come from outside the programs: signals that stop, kill, freeze and
-reload them, folders that vanish between two starts, disks that stall or are
-full, a time of day that jumps, and proxies that delay, reset, silence, refuse
-or cut one way the connections between instances and to backend servers.  A
-seed decides its faults alone.  What callers, servers and the operator see is
-checked against the promises.
+The programs run as real processes, and the faults come from outside them:
+signals that stop, kill, freeze and reload them, data folders that are deleted
+between two starts, disks that stall or are full, a wall clock that jumps, and
+proxies that delay, reset, stall, refuse or partition one way the connections
+between instances and to backend servers.  The faults depend on the seed alone.
+What callers, servers and the operator observe is checked against the
+guarantees.
 """
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""The command line of the soak."""
+"""The command line of the fault soak."""
 
 from gevent import monkey
 
@@ -18,7 +18,7 @@
 
 
 def main():
-    """Run the seeds asked for; return 1 where a promise was broken."""
+    """Run the requested seeds; return 1 if a guarantee was violated."""
     parser = argparse.ArgumentParser(
         prog="python -m tests.soak",
         epilog="example: python -m tests.soak --seed 7 --count 5",
@@ -26,16 +26,16 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--count", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=30.0)
-    parser.add_argument("--logs", help="keep the logs of a failed run here")
-    given = parser.parse_args()
-    # Its own end must end the programs that it started, too.
+    parser.add_argument("--logs", help="folder for the logs of failed runs")
+    args = parser.parse_args()
+    # Exit through SystemExit, so that the started programs are ended too.
     gevent.signal_handler(signal.SIGTERM, sys.exit, 1)
-    broken = 0
-    for seed in range(given.seed, given.seed + given.count):
-        report = run.soak(seed, given.seconds, given.logs)
+    failed_runs = 0
+    for seed in range(args.seed, args.seed + args.count):
+        report = run.soak(seed, args.seconds, args.logs)
         print(msgspec.json.encode(report).decode(), flush=True)
-        broken += bool(report.findings)
-    return 1 if broken else 0
+        failed_runs += bool(report.findings)
+    return 1 if failed_runs else 0
 
 
 if __name__ == "__main__":
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -1,4 +1,4 @@
-"""The programs as processes of their own, ended by their ids alone."""
+"""Runs the programs as child processes and signals them by their ids."""
 
 import contextlib
 import os
@@ -17,15 +17,15 @@
 from tests.soak import proxy as proxy_module
 
 LAUNCH = pathlib.Path(__file__).parent / "launch.py"
-# A start of a program takes a second on a calm machine.
-KILL_SECONDS = 10.0
+# A program takes a second to start when the machine is idle.
+KILL_TIMEOUT_SECONDS = 10.0
 
 
 class Program:
-    """One program with its settings file, log, folder and peer proxy.
+    """One program with its settings file, log, data folder and peer proxy.
 
-    ``hurt`` is when it was last killed, frozen or cut off; a planned stop
-    and a reload do not count.
+    ``disrupted_at`` is when it was last killed, frozen or partitioned; a
+    planned stop and a reload do not count.
     """
 
     def __init__(self, folder, role, ip, settings):
@@ -33,30 +33,31 @@
         self.ip = ip
         self._folder = folder
         self._data = folder / f"{ip}-data"
-        self._spoil = folder / f"{ip}-spoil"
-        self._spoil.mkdir()
+        self._disk_faults = folder / f"{ip}-spoil"
+        self._disk_faults.mkdir()
         self._config = folder / f"{ip}.conf"
         self._log = folder / f"{ip}.log"
         self._settings = settings
-        self._first = True
+        self._is_first_start = True
         self._process = None
-        # To start a process takes a while in which other faults go on.
+        # Other faults continue while a process is being started.
         self._lock = lock.RLock()
         self.frozen = False
         self.disk_failed = False
-        self.hurt = float("-inf")
+        self.disrupted_at = float("-inf")
         self.clock_seconds = 0.0
-        (behind,) = platform_world.free_ports(1)
-        self._behind = f"{ip}:{behind}"
+        (port,) = platform_world.free_ports(1)
+        self._peer_listener = f"{ip}:{port}"
         self.proxy = proxy_module.Proxy(
-            self._behind, (ip, int(settings["inner"]))
+            self._peer_listener, (ip, int(settings["inner"]))
         )
 
     def start(self):
-        """Start it, unless another fault that overlaps has done so.
+        """Start the process, unless an overlapping fault has started it.
 
-        Two processes at one address: the second would end with an error and
-        the first be out of reach.  Only the first start may found the log.
+        Of two processes at one address the second would fail, and the first
+        could no longer be controlled.  Only the first start may bootstrap the
+        log.
         """
         with self._lock:
             if not self.running:
@@ -64,13 +65,13 @@
 
     def _start(self):
         self.write_settings()
-        self._first = False
+        self._is_first_start = False
         env = {
             **os.environ,
             "DANDELIONTRAIL_CONFIG": str(self._config),
-            "SOAK_PEERS": self._behind,
+            "SOAK_PEERS": self._peer_listener,
             "SOAK_CLOCK": str(self.clock_seconds),
-            "SOAK_DISK": str(self._spoil),
+            "SOAK_DISK": str(self._disk_faults),
         }
         with self._log.open("ab") as log:
             self._process = subprocess.Popen(
@@ -81,7 +82,7 @@
             )
 
     def write_settings(self, rng=None):
-        """Write the settings file, the seeds in an order of chance."""
+        """Write the settings file; with ``rng``, shuffle the seeds."""
         data_dir = self._data if self.role == "keeper" else ""
         settings = dict(self._settings)
         if rng is not None:
@@ -94,13 +95,13 @@
             data_dir=data_dir,
             **settings,
         )
-        if not self._first:
+        if not self._is_first_start:
             text = text.replace("bootstrap=true", "bootstrap=false")
         self._config.write_text(text)
 
     @property
     def running(self):
-        """Tell whether the process has not ended."""
+        """Tell whether the process is running."""
         return self._process is not None and self._process.poll() is None
 
     def signal(self, number):
@@ -109,7 +110,7 @@
             self._process.send_signal(number)
 
     def catches(self, number):
-        """Tell whether the process has a handler for a signal by now."""
+        """Tell whether the process has installed a handler for a signal."""
         status = pathlib.Path(f"/proc/{self._process.pid}/status")
         try:
             lines = status.read_text().splitlines()
@@ -119,51 +120,51 @@
         return bool(int(caught.split()[1], 16) & 1 << (number - 1))
 
     def wait(self, seconds):
-        """Wait for so long until the present process ends; tell if it did.
+        """Wait up to ``seconds`` for the present process; tell if it ended.
 
-        Another fault may have started the next one by then.
+        Another fault may have started a new process by then.
         """
         process = self._process
-        until = time.monotonic() + seconds
-        while process.poll() is None and time.monotonic() < until:
+        deadline = time.monotonic() + seconds
+        while process.poll() is None and time.monotonic() < deadline:
             gevent.sleep(0.05)
         return process.poll() is not None
 
-    def note_hurt(self):
-        """Take note that what happens now is more than planned work."""
-        self.hurt = time.monotonic()
+    def mark_disrupted(self):
+        """Record that the program is disrupted by an unplanned fault now."""
+        self.disrupted_at = time.monotonic()
 
     def kill(self):
-        """End it at once, if it has not ended by itself."""
+        """Kill the process if it is still running."""
         with self._lock:
             if self.running:
-                self.note_hurt()
+                self.mark_disrupted()
             self.thaw()
             self.signal(signal.SIGKILL)
-            self._process.wait(KILL_SECONDS)
+            self._process.wait(KILL_TIMEOUT_SECONDS)
 
     def freeze(self):
-        """Have it stand still."""
-        self.note_hurt()
+        """Suspend the process with SIGSTOP."""
+        self.mark_disrupted()
         self.frozen = True
         self.signal(signal.SIGSTOP)
 
     def thaw(self):
-        """Have it go on."""
+        """Resume the process with SIGCONT."""
         if self.frozen:
-            self.note_hurt()
+            self.mark_disrupted()
         self.frozen = False
         self.signal(signal.SIGCONT)
 
     def wipe(self):
-        """Lose its folder; it must not be running."""
+        """Delete the data folder; the process must not be running."""
         shutil.rmtree(self._data, ignore_errors=True)
 
     @contextlib.contextmanager
-    def spoilt_disk(self, how):
-        """Have its syncs wait (``stall``) or fail (``full``)."""
-        self.disk_failed = self.disk_failed or how == "full"
-        marker = self._spoil / how
+    def disk_fault(self, condition):
+        """Make its disk syncs wait (``stall``) or fail (``full``)."""
+        self.disk_failed = self.disk_failed or condition == "full"
+        marker = self._disk_faults / condition
         marker.touch()
         try:
             yield
@@ -171,15 +172,15 @@
             marker.unlink()
 
     def close(self):
-        """End it, and its proxy."""
+        """Kill the process and close its proxy."""
         self.kill()
         self.proxy.close()
 
     def log(self):
-        """Return what it has written."""
+        """Return the log of all its processes."""
         return self._log.read_text()
 
 
-def of_chance(seed, *names):
-    """Return a generator that depends on the seed and the names alone."""
+def seeded_random(seed, *names):
+    """Return a random generator that depends on these arguments alone."""
     return random.Random("/".join(str(item) for item in (seed, *names)))
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback that misbehaves on demand."""
+"""A TCP proxy on loopback that injects network faults on demand."""
 
 import contextlib
 import enum
@@ -9,19 +9,20 @@
 import gevent
 from gevent import server as gevent_server
 
-PIECE = 16 * 1024
+CHUNK_BYTES = 16 * 1024
 DELAY_SECONDS = 0.3
 POLL_SECONDS = 0.05
 # With a linger time of zero, closing sends a reset.
-RESET = struct.pack("ii", 1, 0)
-# An instance's batches begin with its name, which is its address here.
-SENDER = re.compile(rb"\r\n\r\n.*?(127\.\d+\.\d+\.\d+)", re.DOTALL)
+LINGER_RESET = struct.pack("ii", 1, 0)
+# The batches of an instance begin with its name, here its IP address.
+SENDER_PATTERN = re.compile(rb"\r\n\r\n.*?(127\.\d+\.\d+\.\d+)", re.DOTALL)
 
 
 class Mode(enum.Enum):
-    """What happens to bytes.
+    """How the proxy treats data.
 
-    ``NO_ANSWERS`` lets requests through and holds up what comes back.
+    ``SILENT`` delays all data until the mode changes; ``NO_ANSWERS`` does so
+    with responses only.  ``REFUSE`` resets a connection that sends data.
     """
 
     PASS = "pass"
@@ -32,10 +33,10 @@
 
 
 class Proxy:
-    """Passes connections on to ``target``, as its mode says.
+    """Forwards connections to ``target`` according to a mode.
 
-    ``mode`` is for everybody, ``modes`` for those who send from an instance
-    of that name.
+    ``modes`` has the modes of single sending instances by their names;
+    ``mode`` applies to all others.
     """
 
     def __init__(self, target, listen=("127.0.0.1", 0)):
@@ -48,81 +49,85 @@
         host, port = self._server.server_host, self._server.server_port
         self.address = f"{host}:{port}"
 
-    def _serve(self, near, address):
+    def _serve(self, client_sock, address):
         host, port = self._target.rsplit(":", 1)
         try:
-            far = socket.create_connection((host, int(port)), 1.0)
-            far.settimeout(None)
+            server_sock = socket.create_connection((host, int(port)), 1.0)
+            server_sock.settimeout(None)
         except OSError:
-            self._reset(near)
+            self._reset(client_sock)
             return
-        pair = _Pair(near, far)
-        self._open.add(pair)
+        connection = _Connection(client_sock, server_sock)
+        self._open.add(connection)
         jobs = [
-            gevent.spawn(self._carry, pair, near, far, False),
-            gevent.spawn(self._carry, pair, far, near, True),
+            gevent.spawn(
+                self._forward, connection, client_sock, server_sock, False
+            ),
+            gevent.spawn(
+                self._forward, connection, server_sock, client_sock, True
+            ),
         ]
         try:
             gevent.joinall(jobs, count=1)
         finally:
             gevent.killall(jobs)
-            self._open.discard(pair)
-            for sock in (near, far):
+            self._open.discard(connection)
+            for sock in (client_sock, server_sock):
                 sock.close()
 
-    def _carry(self, pair, source, target, is_answer):
+    def _forward(self, connection, source, target, is_response):
         with contextlib.suppress(OSError):
             while True:
-                data = source.recv(PIECE)
+                data = source.recv(CHUNK_BYTES)
                 if not data:
                     return
-                if not is_answer and not pair.sender:
-                    pair.sender = _sender_in(data)
-                if self._mode_of(pair) is Mode.DELAY:
+                if not is_response and not connection.sender:
+                    connection.sender = _find_sender(data)
+                if self._mode_of(connection) is Mode.DELAY:
                     gevent.sleep(DELAY_SECONDS)
-                while self._holds(pair, is_answer):
+                while self._is_held(connection, is_response):
                     gevent.sleep(POLL_SECONDS)
-                if self._mode_of(pair) is Mode.REFUSE:
-                    self._reset(pair.near)
+                if self._mode_of(connection) is Mode.REFUSE:
+                    self._reset(connection.client_sock)
                     return
                 target.sendall(data)
 
-    def _mode_of(self, pair):
-        return self.modes.get(pair.sender, self.mode)
+    def _mode_of(self, connection):
+        return self.modes.get(connection.sender, self.mode)
 
-    def _holds(self, pair, is_answer):
-        mode = self._mode_of(pair)
-        return mode is Mode.SILENT or (is_answer and mode is Mode.NO_ANSWERS)
+    def _is_held(self, connection, is_response):
+        mode = self._mode_of(connection)
+        return mode is Mode.SILENT or (is_response and mode is Mode.NO_ANSWERS)
 
     def reset(self):
         """Reset every open connection."""
-        for pair in list(self._open):
-            self._reset(pair.near)
-            self._reset(pair.far)
+        for connection in list(self._open):
+            self._reset(connection.client_sock)
+            self._reset(connection.server_sock)
 
     @staticmethod
     def _reset(sock):
         with contextlib.suppress(OSError):
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             sock.shutdown(socket.SHUT_RDWR)
 
     def close(self):
-        """Stop, and end every connection."""
+        """Stop the proxy and reset every connection."""
         self._server.stop(0)
         self.reset()
 
 
-class _Pair:
-    """The two sockets of a connection, and which instance sends on it."""
+class _Connection:
+    """The two sockets of a connection and the name of the sending instance."""
 
-    __slots__ = ("near", "far", "sender")
+    __slots__ = ("client_sock", "server_sock", "sender")
 
-    def __init__(self, near, far):
-        self.near = near
-        self.far = far
+    def __init__(self, client_sock, server_sock):
+        self.client_sock = client_sock
+        self.server_sock = server_sock
         self.sender = ""
 
 
-def _sender_in(data):
-    found = SENDER.search(data)
+def _find_sender(data):
+    found = SENDER_PATTERN.search(data)
     return found[1].decode() if found else ""
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""Runs one soak and tells what it found."""
+"""Runs the soak for one seed and reports the violations found."""
 
 import dataclasses
 import pathlib
@@ -10,15 +10,15 @@
 from tests.soak import faults as faults_module
 from tests.soak import world as world_module
 
-CHANGE_SECONDS = 0.7
-READ_SECONDS = 1.1
-# After the last fault all must serve again within this time.
-SETTLE_SECONDS = 30.0
+CHANGE_INTERVAL_SECONDS = 0.7
+READ_INTERVAL_SECONDS = 1.1
+# After the last fault all entries must be ready again within this time.
+RECOVERY_SECONDS = 30.0
 
 
 @dataclasses.dataclass(slots=True)
 class Report:
-    """What one run did and which promises it saw broken."""
+    """What one run did and which guarantees were violated."""
 
     seed: int
     ended: dict
@@ -30,46 +30,51 @@
 def soak(seed, seconds, logs=None):
     """Run the programs under faults for ``seconds``; return the report.
 
-    Where a promise was broken the programs' logs go to the folder ``logs``.
+    If a guarantee was violated, the programs' logs are copied to ``logs``.
     """
     with tempfile.TemporaryDirectory() as folder:
         with world_module.World(folder, seed) as world:
             for _ in range(world_module.CALLERS):
-                world.spawn(world.ask_forever)
-            world.spawn(_every, CHANGE_SECONDS, world.change)
-            world.spawn(_every, READ_SECONDS, lambda: world.check_read(False))
+                world.spawn(world.send_requests_forever)
+            world.spawn(
+                _repeat, CHANGE_INTERVAL_SECONDS, world.submit_manifest
+            )
+            world.spawn(
+                _repeat, READ_INTERVAL_SECONDS, lambda: world.check_read(False)
+            )
             faults = faults_module.Faults(world, seed)
             faults.run(seconds)
-            _settle(world)
+            _await_recovery(world)
             world.check_all()
             if world.findings and logs:
                 world.keep_logs(pathlib.Path(logs) / f"seed-{seed}")
-            counted = {
-                name: faults.done.count(name) for name in set(faults.done)
+            fault_counts = {
+                name: faults.injected.count(name)
+                for name in set(faults.injected)
             }
             return Report(
                 seed,
-                dict(world.ended),
-                counted,
+                dict(world.outcomes),
+                fault_counts,
                 world.acked,
                 dict(world.findings),
             )
 
 
-def _every(seconds, call):
+def _repeat(seconds, call):
     while True:
         call()
         gevent.sleep(seconds)
 
 
-def _settle(world):
-    """Wait until all serve again, and read back what is in force."""
+def _await_recovery(world):
+    """Wait until all entries are ready and the configuration is readable."""
     for entry in world.entries:
         try:
-            node_world.wait_until(lambda: world.ready(entry), SETTLE_SECONDS)
+            node_world.wait_until(lambda: world.ready(entry), RECOVERY_SECONDS)
         except AssertionError:
-            world.find("serves again", entry.ip)
+            world.report_violation("serves again", entry.ip)
     try:
-        node_world.wait_until(lambda: world.check_read(True), SETTLE_SECONDS)
+        node_world.wait_until(lambda: world.check_read(True), RECOVERY_SECONDS)
     except AssertionError:
-        world.find("serves again", "no keeper answers a read")
+        world.report_violation("serves again", "no keeper answers a read")
