--- a/bench/logging_cost.py
+++ b/bench/logging_cost.py
@@ -18,7 +18,7 @@
 import dandeliontrail
 from dandeliontrail.components import revisions as revisions_component
 from dandeliontrail.decisions import retry_budget
-from dandeliontrail.decisions import shared
+from dandeliontrail.decisions import shared_policy
 from dandeliontrail import effects
 from dandeliontrail import events
 from dandeliontrail.resources import announcements
@@ -55,7 +55,7 @@
         random.Random(1),
         [],
         routing_options=revisions_component.RoutingOptions(key_proof=None),
-        new_policy=lambda rng, view, state: shared.Shared(
+        new_policy=lambda rng, view, state: shared_policy.Shared(
             rng, view, state, limits
         ),
     )
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/instance.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/instance.py
@@ -21,9 +21,9 @@
 from . import early_hangup
 from . import early_listener
 from . import engine_client
-from . import face as face_module
 from . import host as host_module
 from . import http_server
+from . import listener_factory as listener_factory_module
 from . import listener_tls
 from . import metrics
 from . import peer_link
@@ -158,7 +158,7 @@
         )
 
     def _listen(self):
-        inner = face_module.InstanceParts(
+        inner = listener_factory_module.InstanceParts(
             self._cfg,
             self.host,
             self._engines,
@@ -172,7 +172,9 @@
         )
         listeners = [
             *self._face.listeners(inner),
-            face_module.Listener("peers", self._cfg.listen.peers, peers_app),
+            listener_factory_module.Listener(
+                "peers", self._cfg.listen.peers, peers_app
+            ),
         ]
         for item in listeners:
             server = http_server.Server(
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/standard_listeners.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/standard_listeners.py
@@ -1,6 +1,6 @@
 """The listeners of the standard HTTP interface."""
 
-from . import face
+from . import listener_factory
 from . import tokens
 from .listeners import backend_servers
 from .listeners import callers
@@ -8,7 +8,7 @@
 from .listeners import operators
 
 
-class StandardListeners(face.Face):
+class StandardListeners(listener_factory.Face):
     """One listener each for callers, backend servers and operators."""
 
     def __init__(self):
@@ -39,7 +39,9 @@
             ),
         }
         return [
-            face.Listener(name, getattr(inner.cfg.listen, name), app)
+            listener_factory.Listener(
+                name, getattr(inner.cfg.listen, name), app
+            )
             for name, app in apps.items()
         ]
 
--- a/packages/dandeliontrail/src/dandeliontrail/components/dispatching.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/dispatching.py
@@ -3,7 +3,7 @@
 from .. import effects
 from .. import invariants
 from . import answers
-from ..decisions import patience
+from ..decisions import silence_timeouts
 from ..effects import reports
 from . import measures
 
@@ -32,9 +32,9 @@
         queue_waits.append(
             measures.since_received(work, reports.Metric.QUEUE_WAIT, now)
         )
-    timeouts = patience.NO_SILENCE_TIMEOUTS
+    timeouts = silence_timeouts.NO_SILENCE_TIMEOUTS
     if work.routed:
-        timeouts = patience.of_attempt(work, request.attempts_begun)
+        timeouts = silence_timeouts.of_attempt(work, request.attempts_begun)
     return [
         effects.Dispatch(
             work.request_id,
--- a/packages/dandeliontrail/src/dandeliontrail/effects/requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/effects/requests.py
@@ -4,7 +4,7 @@
 
 from .. import sentinels
 from ..coordination import claims
-from ..decisions import patience as patience_module
+from ..decisions import silence_timeouts
 
 
 class Dispatch(msgspec.Struct):
@@ -21,8 +21,8 @@
     url: str
     priority: int
     repeatable: bool = True
-    patience: patience_module.SilenceTimeouts = (
-        patience_module.NO_SILENCE_TIMEOUTS
+    patience: silence_timeouts.SilenceTimeouts = (
+        silence_timeouts.NO_SILENCE_TIMEOUTS
     )
 
 
--- a/tests/common/prompt_world.py
+++ b/tests/common/prompt_world.py
@@ -17,10 +17,10 @@
 import types
 
 from dandeliontrail.coordination import server_loads
-from dandeliontrail.decisions import patience
 from dandeliontrail.decisions import retry_budget
 from dandeliontrail.decisions import routing
-from dandeliontrail.decisions import shared
+from dandeliontrail.decisions import shared_policy
+from dandeliontrail.decisions import silence_timeouts
 from dandeliontrail.decisions import view as view_module
 from dandeliontrail.decisions import work as work_module
 from dandeliontrail.resources import revisions
@@ -95,7 +95,9 @@
         )
         limits = retry_budget.RetryLimits(0.2, 220.0, 10.0)
         view = view_module.FixedView(world.instance_count)
-        self.policy = shared.Shared(random.Random(number), view, state, limits)
+        self.policy = shared_policy.Shared(
+            random.Random(number), view, state, limits
+        )
 
     def decide(self):
         """Place or refuse the requests that wait at this instance."""
@@ -284,7 +286,7 @@
         else:
             stream.attempts_begun += 1
         stream.server = placement.server
-        timeouts = patience.of_attempt(work, stream.attempts_begun - 1)
+        timeouts = silence_timeouts.of_attempt(work, stream.attempts_begun - 1)
         stream.sent_at = self.now
         self.schedule(
             self.now + 0.002, self.engines[placement.server].submit, stream
--- a/tests/common/shared_play.py
+++ b/tests/common/shared_policy_harness.py
@@ -11,7 +11,7 @@
 from dandeliontrail.coordination import server_loads
 from dandeliontrail.decisions import retry_budget
 from dandeliontrail.decisions import routing
-from dandeliontrail.decisions import shared
+from dandeliontrail.decisions import shared_policy
 from dandeliontrail.decisions import view
 from dandeliontrail.decisions import work as work_module
 from dandeliontrail.resources import revisions
@@ -73,7 +73,9 @@
         )
         limits = retry_budget.RetryLimits(0.2, slack, 10.0)
         self.view = View()
-        self.policy = shared.Shared(random.Random(1), self.view, state, limits)
+        self.policy = shared_policy.Shared(
+            random.Random(1), self.view, state, limits
+        )
         self.directory = Directory(count)
         self.now = 0.0
         self.count = 0
--- a/tests/cover/test_domain_cuts.py
+++ b/tests/cover/test_domain_cuts.py
@@ -9,7 +9,7 @@
 from dandeliontrail.decisions import server_health
 from dandeliontrail.decisions import work as work_module
 
-from tests.common import shared_play
+from tests.common import shared_policy_harness
 
 # How long a connection to a partitioned domain takes to fail.
 CONNECT_SECONDS = 0.2
@@ -17,7 +17,7 @@
 
 def partitioned_play():
     """Return a ``Play`` in which fd1 was just partitioned from fd0."""
-    play = shared_play.Play(count=6)
+    play = shared_policy_harness.Play(count=6)
     play.view.heard = {"fd1": 0.0, "fd2": 0.0}
     play.now = 10.0
     play.view.heard["fd2"] = 10.0
@@ -26,7 +26,7 @@
 
 def heard_at(when):
     """Return a view that heard fd0 and fd1 at ``when``, if at all."""
-    view = shared_play.View()
+    view = shared_policy_harness.View()
     if when is not None:
         view.heard = {"fd0": when, "fd1": when}
     return view
--- a/tests/cover/test_hedge_machine.py
+++ b/tests/cover/test_hedge_machine.py
@@ -9,7 +9,7 @@
 import dandeliontrail
 from dandeliontrail.decisions import retry_budget
 from dandeliontrail.decisions import routing
-from dandeliontrail.decisions import shared
+from dandeliontrail.decisions import shared_policy
 from dandeliontrail import effects
 from dandeliontrail import events
 from dandeliontrail.resources import announcements
@@ -102,7 +102,7 @@
         self.reducer = dandeliontrail.new_reducer(
             identity,
             random.Random(0),
-            new_policy=lambda rng, view, state: shared.Shared(
+            new_policy=lambda rng, view, state: shared_policy.Shared(
                 rng, view, state, limits
             ),
         )
--- a/tests/cover/test_shared_policy.py
+++ b/tests/cover/test_shared_policy.py
@@ -9,16 +9,16 @@
 from dandeliontrail.decisions import affinity
 from dandeliontrail.decisions import engine_choice
 from dandeliontrail.decisions import prefix_announcements
-from dandeliontrail.decisions import shared
+from dandeliontrail.decisions import shared_policy
 from dandeliontrail.decisions import work as work_module
 from dandeliontrail import sentinels
 import pytest
 
-from tests.common import shared_play
+from tests.common import shared_policy_harness
 
 
 def test_requests_with_one_shared_prefix_go_to_one_engine():
-    play = shared_play.Play()
+    play = shared_policy_harness.Play()
     chosen = set()
     for number in range(8):
         work = play.review(1)
@@ -32,13 +32,13 @@
 def test_instances_choose_the_same_engine_for_a_new_prefix():
     # Two instances get a prefix for the first time at once.  With different
     # engines, it would be prefilled twice.
-    first, second = shared_play.Play(), shared_play.Play()
+    first, second = shared_policy_harness.Play(), shared_policy_harness.Play()
     work, other = first.review(5), second.review(5)
     assert first.next()[work.request_id] == second.next()[other.request_id]
 
 
 def test_prefixes_sent_by_other_instances_count_as_cached():
-    play = shared_play.Play()
+    play = shared_policy_harness.Play()
     names = [
         server.announcement.backend_server for server in play.directory.servers
     ]
@@ -46,7 +46,12 @@
     groups.set_engines("llm", sorted(names))
     last = groups.ranked("t7", False)[-1]
     play.policy.heard_reads(
-        [server_loads.Read(last, [("t7", shared_play.PREFIX_TOKENS)])], 0.0
+        [
+            server_loads.Read(
+                last, [("t7", shared_policy_harness.PREFIX_TOKENS)]
+            )
+        ],
+        0.0,
     )
     work = play.review(7)
     assert play.next()[work.request_id] == last
@@ -55,11 +60,11 @@
 def test_use_of_a_known_prefix_is_not_announced_again_at_once():
     # Ninety instances use one prefix within seconds.  When each announced
     # each use to all others, that took half of a 5 Mbit/s link.
-    play = shared_play.Play()
+    play = shared_policy_harness.Play()
     play.review(7)
     play.next()
     (read,) = play.policy.take_reads()
-    other = shared_play.Play()
+    other = shared_policy_harness.Play()
     other.policy.heard_reads([read], 0.0)
     other.review(7)
     other.next()
@@ -76,7 +81,7 @@
     # Forty long prompts come within a second.  If they were placed at once,
     # each engine would make one token in the time of fifteen until all are
     # prefilled, and streams that began before would exceed their deadlines.
-    play = shared_play.Play()
+    play = shared_policy_harness.Play()
     for prefix_id in range(40):
         play.review(prefix_id)
     placed = play.next()
@@ -86,12 +91,13 @@
     assert 4 <= len(placed) <= 12
     assert (
         max(unread.values())
-        <= engine_choice.MAX_UNREAD_TOKENS + shared_play.PREFIX_TOKENS
+        <= engine_choice.MAX_UNREAD_TOKENS
+        + shared_policy_harness.PREFIX_TOKENS
     )
 
 
 def test_while_a_large_prompt_waits_smaller_ones_wait_too():
-    play = shared_play.Play(count=2)
+    play = shared_policy_harness.Play(count=2)
     busy = [server_loads.Load(f"e{n}", 2, 3_000) for n in range(2)]
     play.loads.take("other", "fd1", busy, 0.0)
     large = play.review(1, own=30_000)
@@ -104,7 +110,7 @@
 
 
 def test_without_a_large_prompt_smaller_ones_fill_an_engine():
-    play = shared_play.Play(count=2)
+    play = shared_policy_harness.Play(count=2)
     busy = [server_loads.Load(f"e{n}", 2, 1_500) for n in range(2)]
     play.loads.take("other", "fd1", busy, 0.0)
     chat = play.ask((("own", 4_000),))
@@ -112,7 +118,7 @@
 
 
 def test_work_of_other_instances_counts():
-    play = shared_play.Play(count=2)
+    play = shared_policy_harness.Play(count=2)
     busy = [server_loads.Load(f"e{n}", 9, 50_000) for n in range(2)]
     play.loads.take("other", "fd1", busy, 0.0)
     work = play.review(1)
@@ -122,7 +128,7 @@
 
 
 def test_an_engine_that_has_prefilled_gets_the_next_prompt():
-    play = shared_play.Play(count=2)
+    play = shared_policy_harness.Play(count=2)
     works = [play.review(1) for _ in range(9)]
     placed = play.next()
     assert len(placed) < 9
@@ -133,7 +139,7 @@
 
 
 def test_urgent_work_goes_first_and_late_work_last():
-    play = shared_play.Play(count=2)
+    play = shared_policy_harness.Play(count=2)
     filler = [play.review(0) for _ in range(9)]
     play.next()
     play.now = 2.5
@@ -151,7 +157,7 @@
 def test_low_latency_streams_avoid_engines_with_long_prompts():
     # A chat whose gaps must stay below 0.3 s would share an engine with a
     # prompt of 16,000 tokens, which takes that long to prefill.
-    play = shared_play.Play(count=9)
+    play = shared_policy_harness.Play(count=9)
     reviews = set()
     for prefix_id in range(6):
         work = play.review(prefix_id)
@@ -170,7 +176,7 @@
 
 
 def test_low_latency_streams_overflow_to_the_other_engines():
-    play = shared_play.Play(count=6)
+    play = shared_policy_harness.Play(count=6)
     chats = set()
     for _ in range(300):
         work = play.chat()
@@ -184,7 +190,7 @@
     # have half of theirs free.  Without a cost for that wait, 98 requests
     # went there before one went elsewhere, and half of the first tokens were
     # late.
-    play = shared_play.Play(count=5)
+    play = shared_policy_harness.Play(count=5)
     places = collections.Counter()
     for _ in range(110):
         work = play.chat()
@@ -200,7 +206,7 @@
     # another domain, from which a partition may cut it off.  When the
     # rendezvous order alone decided, two in three prompts went to another
     # domain.
-    play = shared_play.Play(count=6)
+    play = shared_policy_harness.Play(count=6)
     own = 0
     choices = 0
     for prefix_id in range(200):
@@ -226,7 +232,7 @@
 def test_a_queue_that_is_too_long_refuses_with_a_retry_after():
     # A burst exceeds what the engines can prefill.  The last in the queue are
     # refused at once with a Retry-After, and not only at their deadline.
-    play = shared_play.Play(count=2)
+    play = shared_policy_harness.Play(count=2)
     refused = {}
     for step in range(60):
         play.now = step * 0.1
@@ -248,7 +254,7 @@
 
 
 def test_an_unreachable_server_is_avoided_for_a_while():
-    play = shared_play.Play(count=2)
+    play = shared_policy_harness.Play(count=2)
     work = play.review(1)
     server = play.next()[work.request_id]
     ended = work_module.Ended(
@@ -265,7 +271,7 @@
 
 
 def test_without_a_usable_server_work_is_refused_soon():
-    play = shared_play.Play(count=1)
+    play = shared_policy_harness.Play(count=1)
     work = play.review(1)
     server = play.next()[work.request_id]
     play.policy.ended(
@@ -276,12 +282,12 @@
     )
     waiting = play.review(2)
     assert play.next() == {}
-    play.now += shared.NO_SERVER_WAIT_SECONDS + 0.01
+    play.now += shared_policy.NO_SERVER_WAIT_SECONDS + 0.01
     assert waiting.request_id in play.next()
 
 
 def test_of_two_servers_at_one_address_the_newer_is_used():
-    play = shared_play.Play(count=2)
+    play = shared_policy_harness.Play(count=2)
     old, new = play.directory.servers
     new.announcement.url = old.announcement.url
     new.heard = 5.0
@@ -292,7 +298,7 @@
 
 
 def test_retries_stay_within_the_budget():
-    play = shared_play.Play(slack=58.0)
+    play = shared_policy_harness.Play(slack=58.0)
     works = [play.review(n) for n in range(50)]
     allowed = [bool(play.policy.retry(work, play.now)) for work in works]
     # A ninth of the slack of 58 and a fifth of the requests, of which four
@@ -362,7 +368,9 @@
         loads=server_loads.LoadTable(),
         identity=types.SimpleNamespace(failure_domain="fd0", instance="r"),
     )
-    return loads_component.ServerLoads(state, shared_play.Play().policy)
+    return loads_component.ServerLoads(
+        state, shared_policy_harness.Play().policy
+    )
 
 
 FAR = messages.Sender("b", "far", "fd1", "r", 1)
