--- a/bench/logging_cost.py
+++ b/bench/logging_cost.py
@@ -55,7 +55,7 @@
         random.Random(1),
         [],
         routing_options=revisions_component.RoutingOptions(key_proof=None),
-        new_policy=lambda rng, view, state: shared_policy.Shared(
+        new_policy=lambda rng, view, state: shared_policy.SharedServersPolicy(
             rng, view, state, limits
         ),
     )
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/shared_policy.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/shared_policy.py
@@ -65,7 +65,7 @@
     unread: float
 
 
-class Shared(policy.Policy):
+class SharedServersPolicy(policy.Policy):
     """Schedules for one instance, by its own and the others' work."""
 
     def __init__(self, rng, view, state, limits):
--- a/tests/common/prompt_world.py
+++ b/tests/common/prompt_world.py
@@ -95,7 +95,7 @@
         )
         limits = retry_budget.RetryLimits(0.2, 220.0, 10.0)
         view = view_module.FixedView(world.instance_count)
-        self.policy = shared_policy.Shared(
+        self.policy = shared_policy.SharedServersPolicy(
             random.Random(number), view, state, limits
         )
 
--- a/tests/common/shared_policy_harness.py
+++ b/tests/common/shared_policy_harness.py
@@ -1,4 +1,4 @@
-"""A harness for the ``Shared`` policy of one instance.
+"""A harness for the ``SharedServersPolicy`` policy of one instance.
 
 The test controls time, servers and the announcements of other instances.
 There is one service, ``llm``, with a route for chats, whose longest allowed
@@ -58,7 +58,7 @@
     )
 
 
-class Play:
+class PolicyHarness:
     """The policy of one instance and its inputs; ``now`` is its clock.
 
     ``slack`` is that of the retry limits of the whole cluster.
@@ -73,7 +73,7 @@
         )
         limits = retry_budget.RetryLimits(0.2, slack, 10.0)
         self.view = View()
-        self.policy = shared_policy.Shared(
+        self.policy = shared_policy.SharedServersPolicy(
             random.Random(1), self.view, state, limits
         )
         self.directory = Directory(count)
--- a/tests/cover/test_domain_cuts.py
+++ b/tests/cover/test_domain_cuts.py
@@ -16,8 +16,8 @@
 
 
 def partitioned_play():
-    """Return a ``Play`` in which fd1 was just partitioned from fd0."""
-    play = shared_policy_harness.Play(count=6)
+    """Return a ``PolicyHarness`` in which fd1 was just partitioned from fd0."""
+    play = shared_policy_harness.PolicyHarness(count=6)
     play.view.heard = {"fd1": 0.0, "fd2": 0.0}
     play.now = 10.0
     play.view.heard["fd2"] = 10.0
--- a/tests/cover/test_heartbeats.py
+++ b/tests/cover/test_heartbeats.py
@@ -201,7 +201,7 @@
     # If the policy kept its load and its cached prompt parts, the idle engine
     # would get no requests, and later requests whose prompts it must read
     # from the beginning.
-    play = shared_policy_harness.Play(count=1)
+    play = shared_policy_harness.PolicyHarness(count=1)
     (server,) = play.directory.servers
     name = server.announcement.backend_server
     server.announcement = msgspec.structs.replace(
--- a/tests/cover/test_hedge_machine.py
+++ b/tests/cover/test_hedge_machine.py
@@ -102,8 +102,8 @@
         self.reducer = dandeliontrail.new_reducer(
             identity,
             random.Random(0),
-            new_policy=lambda rng, view, state: shared_policy.Shared(
-                rng, view, state, limits
+            new_policy=lambda rng, view, state: (
+                shared_policy.SharedServersPolicy(rng, view, state, limits)
             ),
         )
         self.reducer.state.routing.table = routing.RoutingTable(
--- a/tests/cover/test_hedge_policy.py
+++ b/tests/cover/test_hedge_policy.py
@@ -1,4 +1,4 @@
-"""Placement of hedges beside a silent server by the ``Shared`` policy."""
+"""Placement of hedges beside a silent server by the ``SharedServersPolicy`` policy."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 @pytest.fixture
 def play():
     """Two engines; the first one has a review and prefills it."""
-    harness = shared_policy_harness.Play(count=2)
+    harness = shared_policy_harness.PolicyHarness(count=2)
     harness.silent = review(harness, "a", avoid={"e1"})
     assert harness.next() == {"r1": "e0"}
     return harness
@@ -106,7 +106,7 @@
 def test_searches_do_not_cause_refusals():
     # Ten searches for a hedge do not count as a queue because of which a new
     # request would be refused.
-    play = shared_policy_harness.Play(count=1)
+    play = shared_policy_harness.PolicyHarness(count=1)
     for number in range(10):
         work = play.chat(max_attempts=2)
         assert play.next() == {work.request_id: "e0"}
@@ -118,7 +118,7 @@
 
 
 def test_hedges_count_against_the_retry_budget():
-    play = shared_policy_harness.Play(count=2, slack=0.0)
+    play = shared_policy_harness.PolicyHarness(count=2, slack=0.0)
     works = [play.chat(max_attempts=2, avoid={"e1"}) for _ in range(20)]
     play.next()
     for work in works:
--- a/tests/cover/test_shared_policy.py
+++ b/tests/cover/test_shared_policy.py
@@ -1,4 +1,4 @@
-"""Placement by the ``Shared`` policy on engines that instances share."""
+"""Placement by the ``SharedServersPolicy`` policy on engines that instances share."""
 
 import collections
 import types
@@ -18,7 +18,7 @@
 
 
 def test_requests_with_one_shared_prefix_go_to_one_engine():
-    play = shared_policy_harness.Play()
+    play = shared_policy_harness.PolicyHarness()
     chosen = set()
     for number in range(8):
         work = play.review(1)
@@ -32,13 +32,16 @@
 def test_instances_choose_the_same_engine_for_a_new_prefix():
     # Two instances get a prefix for the first time at once.  With different
     # engines, it would be prefilled twice.
-    first, second = shared_policy_harness.Play(), shared_policy_harness.Play()
+    first, second = (
+        shared_policy_harness.PolicyHarness(),
+        shared_policy_harness.PolicyHarness(),
+    )
     work, other = first.review(5), second.review(5)
     assert first.next()[work.request_id] == second.next()[other.request_id]
 
 
 def test_prefixes_sent_by_other_instances_count_as_cached():
-    play = shared_policy_harness.Play()
+    play = shared_policy_harness.PolicyHarness()
     names = [
         server.announcement.backend_server for server in play.directory.servers
     ]
@@ -60,11 +63,11 @@
 def test_use_of_a_known_prefix_is_not_announced_again_at_once():
     # Ninety instances use one prefix within seconds.  When each announced
     # each use to all others, that took half of a 5 Mbit/s link.
-    play = shared_policy_harness.Play()
+    play = shared_policy_harness.PolicyHarness()
     play.review(7)
     play.next()
     (read,) = play.policy.take_reads()
-    other = shared_policy_harness.Play()
+    other = shared_policy_harness.PolicyHarness()
     other.policy.heard_reads([read], 0.0)
     other.review(7)
     other.next()
@@ -81,7 +84,7 @@
     # Forty long prompts come within a second.  If they were placed at once,
     # each engine would make one token in the time of fifteen until all are
     # prefilled, and streams that began before would exceed their deadlines.
-    play = shared_policy_harness.Play()
+    play = shared_policy_harness.PolicyHarness()
     for prefix_id in range(40):
         play.review(prefix_id)
     placed = play.next()
@@ -97,7 +100,7 @@
 
 
 def test_while_a_large_prompt_waits_smaller_ones_wait_too():
-    play = shared_policy_harness.Play(count=2)
+    play = shared_policy_harness.PolicyHarness(count=2)
     busy = [server_loads.Load(f"e{n}", 2, 3_000) for n in range(2)]
     play.loads.take("other", "fd1", busy, 0.0)
     large = play.review(1, own=30_000)
@@ -110,7 +113,7 @@
 
 
 def test_without_a_large_prompt_smaller_ones_fill_an_engine():
-    play = shared_policy_harness.Play(count=2)
+    play = shared_policy_harness.PolicyHarness(count=2)
     busy = [server_loads.Load(f"e{n}", 2, 1_500) for n in range(2)]
     play.loads.take("other", "fd1", busy, 0.0)
     chat = play.ask((("own", 4_000),))
@@ -118,7 +121,7 @@
 
 
 def test_work_of_other_instances_counts():
-    play = shared_policy_harness.Play(count=2)
+    play = shared_policy_harness.PolicyHarness(count=2)
     busy = [server_loads.Load(f"e{n}", 9, 50_000) for n in range(2)]
     play.loads.take("other", "fd1", busy, 0.0)
     work = play.review(1)
@@ -128,7 +131,7 @@
 
 
 def test_an_engine_that_has_prefilled_gets_the_next_prompt():
-    play = shared_policy_harness.Play(count=2)
+    play = shared_policy_harness.PolicyHarness(count=2)
     works = [play.review(1) for _ in range(9)]
     placed = play.next()
     assert len(placed) < 9
@@ -139,7 +142,7 @@
 
 
 def test_urgent_work_goes_first_and_late_work_last():
-    play = shared_policy_harness.Play(count=2)
+    play = shared_policy_harness.PolicyHarness(count=2)
     filler = [play.review(0) for _ in range(9)]
     play.next()
     play.now = 2.5
@@ -157,7 +160,7 @@
 def test_low_latency_streams_avoid_engines_with_long_prompts():
     # A chat whose gaps must stay below 0.3 s would share an engine with a
     # prompt of 16,000 tokens, which takes that long to prefill.
-    play = shared_policy_harness.Play(count=9)
+    play = shared_policy_harness.PolicyHarness(count=9)
     reviews = set()
     for prefix_id in range(6):
         work = play.review(prefix_id)
@@ -176,7 +179,7 @@
 
 
 def test_low_latency_streams_overflow_to_the_other_engines():
-    play = shared_policy_harness.Play(count=6)
+    play = shared_policy_harness.PolicyHarness(count=6)
     chats = set()
     for _ in range(300):
         work = play.chat()
@@ -190,7 +193,7 @@
     # have half of theirs free.  Without a cost for that wait, 98 requests
     # went there before one went elsewhere, and half of the first tokens were
     # late.
-    play = shared_policy_harness.Play(count=5)
+    play = shared_policy_harness.PolicyHarness(count=5)
     places = collections.Counter()
     for _ in range(110):
         work = play.chat()
@@ -206,7 +209,7 @@
     # another domain, from which a partition may cut it off.  When the
     # rendezvous order alone decided, two in three prompts went to another
     # domain.
-    play = shared_policy_harness.Play(count=6)
+    play = shared_policy_harness.PolicyHarness(count=6)
     own = 0
     choices = 0
     for prefix_id in range(200):
@@ -232,7 +235,7 @@
 def test_a_queue_that_is_too_long_refuses_with_a_retry_after():
     # A burst exceeds what the engines can prefill.  The last in the queue are
     # refused at once with a Retry-After, and not only at their deadline.
-    play = shared_policy_harness.Play(count=2)
+    play = shared_policy_harness.PolicyHarness(count=2)
     refused = {}
     for step in range(60):
         play.now = step * 0.1
@@ -254,7 +257,7 @@
 
 
 def test_an_unreachable_server_is_avoided_for_a_while():
-    play = shared_policy_harness.Play(count=2)
+    play = shared_policy_harness.PolicyHarness(count=2)
     work = play.review(1)
     server = play.next()[work.request_id]
     ended = work_module.Ended(
@@ -271,7 +274,7 @@
 
 
 def test_without_a_usable_server_work_is_refused_soon():
-    play = shared_policy_harness.Play(count=1)
+    play = shared_policy_harness.PolicyHarness(count=1)
     work = play.review(1)
     server = play.next()[work.request_id]
     play.policy.ended(
@@ -287,7 +290,7 @@
 
 
 def test_of_two_servers_at_one_address_the_newer_is_used():
-    play = shared_policy_harness.Play(count=2)
+    play = shared_policy_harness.PolicyHarness(count=2)
     old, new = play.directory.servers
     new.announcement.url = old.announcement.url
     new.heard = 5.0
@@ -298,7 +301,7 @@
 
 
 def test_retries_stay_within_the_budget():
-    play = shared_policy_harness.Play(slack=58.0)
+    play = shared_policy_harness.PolicyHarness(slack=58.0)
     works = [play.review(n) for n in range(50)]
     allowed = [bool(play.policy.retry(work, play.now)) for work in works]
     # A ninth of the slack of 58 and a fifth of the requests, of which four
@@ -369,7 +372,7 @@
         identity=types.SimpleNamespace(failure_domain="fd0", instance="r"),
     )
     return loads_component.ServerLoads(
-        state, shared_policy_harness.Play().policy
+        state, shared_policy_harness.PolicyHarness().policy
     )
 
 
