--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -108,7 +108,7 @@
         policy.first_output(item.work.request_id, clock.now)
     if len(running) > 20:
         item = running.pop(0)
-        ended = work_module.Ended(
+        ended = work_module.AttemptEnd(
             item.work.request_id, item.server, 100, gaps_ms=[20.0]
         )
         policy.ended(ended, clock.now)
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/baselines.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/baselines.py
@@ -34,7 +34,8 @@
                     work.class_name, work.model, work.service
                 )
                 if server.serves(now)
-                and server.announcement.backend_server not in work.avoid
+                and server.announcement.backend_server
+                not in work.excluded_servers
             ]
             if not servers:
                 self._queue.append(work)
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/simulation.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/simulation.py
@@ -193,10 +193,10 @@
     def _on_attempt_rejected(self, number, item, engine):
         policy = self.instances[self._instance_indices[number]].policy
         policy.ended(
-            work_module.Ended(item.request_id, engine.name, failed=True),
+            work_module.AttemptEnd(item.request_id, engine.name, failed=True),
             self.now,
         )
-        item.avoid.add(engine.name)
+        item.excluded_servers.add(engine.name)
         self._requeue_or_fail(number, item)
 
     def _requeue_or_fail(self, number, item):
@@ -218,7 +218,7 @@
         self._close(number, "late")
         if policy.withdraw(request_id) is None and result.attempts:
             policy.ended(
-                work_module.Ended(request_id, "", wasted=True), self.now
+                work_module.AttemptEnd(request_id, "", wasted=True), self.now
             )
             name = f"{number}/{result.attempts}"
             for engine in self.engines:
@@ -271,7 +271,7 @@
             spent = (event.when - stream.first_token_at) * 1000.0
             gaps = [spent / (stream.output - 1)]
         policy.ended(
-            work_module.Ended(
+            work_module.AttemptEnd(
                 str(number), engine.name, stream.output, gaps_ms=gaps
             ),
             self.now,
@@ -305,11 +305,11 @@
         instance_index = self._instance_indices[number]
         policy = self.instances[instance_index].policy
         policy.ended(
-            work_module.Ended(str(number), engine.name, failed=True),
+            work_module.AttemptEnd(str(number), engine.name, failed=True),
             self.now,
         )
         item = instance_view.work_of(result.request)
-        item.avoid.add(engine.name)
+        item.excluded_servers.add(engine.name)
         repeats = (
             result.request.request_class.repeatable
             and not stream.generated_tokens
--- a/packages/dandeliontrail/src/dandeliontrail/components/endings.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/endings.py
@@ -88,7 +88,7 @@
 
     def report_attempt_end(self, request, now, **details):
         """Report to the policy how the current attempt ended."""
-        ended = work_module.Ended(
+        ended = work_module.AttemptEnd(
             request.work.request_id, request.server, **details
         )
         self._policy.ended(ended, now)
--- a/packages/dandeliontrail/src/dandeliontrail/components/hedges.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/hedges.py
@@ -39,7 +39,7 @@
             return
         if self._ends.is_blocked(work.fingerprint, not_before):
             return
-        work.avoid.add(request.server)
+        work.excluded_servers.add(request.server)
         work.rejected_by.discard(request.server)
         request.seeking_hedge = True
         self._policy.seek(work, not_before)
@@ -119,10 +119,12 @@
 
     def _seek_next(self, request, now, pause=0.0, **details):
         hedge, request.hedge = request.hedge, None
-        request.work.avoid.add(hedge.server)
+        request.work.excluded_servers.add(hedge.server)
         self._report_end(request, hedge.server, now, failed=True, **details)
         self.seek(request, now + pause)
 
     def _report_end(self, request, server, now, **details):
-        ended = work_module.Ended(request.work.request_id, server, **details)
+        ended = work_module.AttemptEnd(
+            request.work.request_id, server, **details
+        )
         self._policy.ended(ended, now)
--- a/packages/dandeliontrail/src/dandeliontrail/components/requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/requests.py
@@ -325,7 +325,7 @@
         If the failed attempt may have ``begun``, the retry counts against the
         retry budget of the policy.
         """
-        request.work.avoid.add(request.server)
+        request.work.excluded_servers.add(request.server)
         if self._ends.is_blocked(request.work.fingerprint, now):
             return self._refuse(request, ENDS_SERVERS, now)
         if request.dispatches >= hedges.MAX_ATTEMPTS:
@@ -333,7 +333,7 @@
             return self._refuse(request, nothing, now)
         if self._avoids_all_servers(request.work):
             # One of them may have recovered by then.
-            request.work.avoid.clear()
+            request.work.excluded_servers.clear()
             return self._schedule_retry(
                 request, RETRY_PAUSE_SECONDS, now
             ) + self._run_policy(now)
@@ -354,7 +354,7 @@
         was unreachable count against neither.
         """
         work = request.work
-        work.avoid.add(request.server)
+        work.excluded_servers.add(request.server)
         if self._ends.is_blocked(work.fingerprint, now):
             return self._refuse(request, ENDS_SERVERS, now)
         rejected = request.servers_reached - request.attempts_begun
@@ -383,7 +383,7 @@
             work.class_name, work.model, work.service
         )
         names = {item.announcement.backend_server for item in servers}
-        return names <= work.avoid
+        return names <= work.excluded_servers
 
     def _schedule_retry(self, request, seconds, now):
         due = min(now + seconds, request.work.deadline)
@@ -419,7 +419,7 @@
         work = request.work
         del self.lives[work.request_id]
         self._ends.record_served(work.fingerprint, now)
-        ended = work_module.Ended(
+        ended = work_module.AttemptEnd(
             work.request_id,
             request.server,
             event.output_tokens,
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/attempts.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/attempts.py
@@ -41,7 +41,7 @@
         by_request[request_id] = attempt
 
     def take(self, ended):
-        """Remove and return the attempt that ended (:class:`.work.Ended`).
+        """Remove and return the attempt of a :class:`.work.AttemptEnd`.
 
         If it was the first attempt, the hedge takes its place.  Returns
         ``None`` if the request has no attempt.
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/placing.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/placing.py
@@ -174,7 +174,7 @@
         if not all(engine.slow for _, engine in sample):
             return None
         for server, engine in sample:
-            untried = engine.name not in requirements.work.avoid
+            untried = engine.name not in requirements.work.excluded_servers
             if untried and server.serves(now) and engine.may_probe(now):
                 return engine.name
         return None
@@ -186,7 +186,10 @@
         return chosen + subset.with_names(self._freed)
 
     def _may_place(self, requirements, server, engine, fleet, now):
-        if not server.serves(now) or engine.name in requirements.work.avoid:
+        if (
+            not server.serves(now)
+            or engine.name in requirements.work.excluded_servers
+        ):
             return False
         if engine.slow and self._options.slow_servers:
             if not self._may_use_slow(requirements, engine, now):
@@ -238,8 +241,9 @@
 
     Such work is refused at once instead of near its deadline.
     """
-    if not work.avoid:
+    if not work.excluded_servers:
         return False
     return all(
-        server.announcement.backend_server in work.avoid for server in servers
+        server.announcement.backend_server in work.excluded_servers
+        for server in servers
     )
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/shared_policy.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/shared_policy.py
@@ -282,9 +282,9 @@
         usable = self._usable_in_round(work, servers, now)
         if not usable:
             waited = now - work.received
-            if waited < NO_SERVER_WAIT_SECONDS and len(work.avoid) < len(
-                servers
-            ):
+            if waited < NO_SERVER_WAIT_SECONDS and len(
+                work.excluded_servers
+            ) < len(servers):
                 return None
             return self._refusal(work, sentinels.Reason.NO_SERVER, servers)
         if not work.parts:
@@ -309,7 +309,7 @@
 
         Work that avoids servers after failed attempts is not cached.
         """
-        if work.avoid:
+        if work.excluded_servers:
             return self._usable_servers(work, servers, now)
         cached = self._round_usable.get(work.service)
         if cached is None:
@@ -332,7 +332,7 @@
         usable = {}
         for server in newest.values():
             name = server.announcement.backend_server
-            if not server.serves(now) or name in work.avoid:
+            if not server.serves(now) or name in work.excluded_servers:
                 continue
             if self._table.server(name).health.usable(now):
                 usable[name] = server
@@ -425,7 +425,7 @@
             self._record_answering(attempt, now)
 
     def ended(self, ended, now):
-        """Record how an attempt ended (:class:`.work.Ended`)."""
+        """Record how an attempt ended (:class:`.work.AttemptEnd`)."""
         attempt = self._attempts.take(ended)
         if attempt is None:
             return
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/work.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/work.py
@@ -9,7 +9,7 @@
     ``received`` and ``deadline`` are on this instance's clock. ``priority`` is
     lower for more important work.
 
-    ``avoid`` names the servers on which an attempt has failed already;
+    ``excluded_servers`` names those on which an attempt has failed already;
     ``rejected_by`` names those of them that rejected the request without
     starting it while it was also outstanding at a silent server.
 
@@ -57,7 +57,7 @@
     start_priority: int = 0
     route_priority: int = 0
     fingerprint: str = ""
-    avoid: set = msgspec.field(default_factory=set)
+    excluded_servers: set = msgspec.field(default_factory=set)
     rejected_by: set = msgspec.field(default_factory=set)
 
     def ask_again(self):
@@ -65,7 +65,7 @@
 
         They may have room by now.
         """
-        self.avoid -= self.rejected_by
+        self.excluded_servers -= self.rejected_by
         self.rejected_by.clear()
 
 
@@ -125,7 +125,7 @@
     domain: str = ""
 
 
-class Ended(msgspec.Struct):
+class AttemptEnd(msgspec.Struct):
     """How an attempt ended, as feedback to the policy.
 
     ``wasted``: no caller could use the output. ``refused``: the server said
--- a/tests/common/prompt_world.py
+++ b/tests/common/prompt_world.py
@@ -319,7 +319,7 @@
             return
         self.hedges_sought[stream.request.kind.name] += 1
         stream.hedge_sought = True
-        work.avoid.add(stream.server)
+        work.excluded_servers.add(stream.server)
         stream.instance.policy.seek(work, self.now)
         stream.instance.decide()
 
@@ -351,7 +351,9 @@
 
     def _cancel(self, stream, **how):
         stream.closed = True
-        ended = work_module.Ended(stream.work.request_id, stream.server, **how)
+        ended = work_module.AttemptEnd(
+            stream.work.request_id, stream.server, **how
+        )
         stream.instance.policy.ended(ended, self.now)
 
     def _watch_caller(self, request_id):
@@ -392,7 +394,7 @@
         self._cancel_hedge(stream)
         instance = stream.instance
         if instance.policy.withdraw(request_id) is None:
-            ended = work_module.Ended(request_id, "", wasted=True)
+            ended = work_module.AttemptEnd(request_id, "", wasted=True)
             instance.policy.ended(ended, self.now)
         instance.decide()
 
@@ -409,7 +411,7 @@
         self._cancel_hedge(stream)
         del self.streams[stream.work.request_id]
         request = stream.request
-        ended = work_module.Ended(
+        ended = work_module.AttemptEnd(
             stream.work.request_id, "", output_tokens=request.output_tokens
         )
         stream.instance.policy.ended(ended, self.now)
--- a/tests/common/shared_policy_harness.py
+++ b/tests/common/shared_policy_harness.py
@@ -1,4 +1,4 @@
-"""A harness for the ``SharedServersPolicy`` policy of one instance.
+"""A harness for the ``SharedServersPolicy`` of one instance.
 
 The test controls time, servers and the announcements of other instances.
 There is one service, ``llm``, with a route for chats, whose longest allowed
--- a/tests/cover/test_attempts.py
+++ b/tests/cover/test_attempts.py
@@ -19,7 +19,7 @@
 
 
 def ended(server):
-    return work_module.Ended("r", server)
+    return work_module.AttemptEnd("r", server)
 
 
 def test_both_attempts_of_a_request_are_counted():
--- a/tests/cover/test_domain_cuts.py
+++ b/tests/cover/test_domain_cuts.py
@@ -16,7 +16,7 @@
 
 
 def partitioned_play():
-    """Return a ``PolicyHarness`` in which fd1 was just partitioned from fd0."""
+    """Return a ``PolicyHarness``; fd1 was just partitioned from fd0."""
     play = shared_policy_harness.PolicyHarness(count=6)
     play.view.heard = {"fd1": 0.0, "fd2": 0.0}
     play.now = 10.0
@@ -55,12 +55,16 @@
             failed += 1
             play.now += CONNECT_SECONDS
             play.view.heard["fd2"] = play.now
-            ended = work_module.Ended(work.request_id, name, unreachable=True)
+            ended = work_module.AttemptEnd(
+                work.request_id, name, unreachable=True
+            )
             play.policy.ended(ended, play.now)
-            work.avoid.add(name)
+            work.excluded_servers.add(name)
             play.policy.requeue(work, play.now)
         play.policy.first_output(work.request_id, play.now)
-        play.policy.ended(work_module.Ended(work.request_id, name), play.now)
+        play.policy.ended(
+            work_module.AttemptEnd(work.request_id, name), play.now
+        )
         play.now += 0.05
     return failed
 
@@ -133,7 +137,7 @@
     ]
     work = play.chat()
     name = play.next()[work.request_id]
-    ended = work_module.Ended(work.request_id, name, unreachable=True)
+    ended = work_module.AttemptEnd(work.request_id, name, unreachable=True)
     play.now += CONNECT_SECONDS
     play.policy.ended(ended, play.now)
     again = play.chat()
--- a/tests/cover/test_heartbeats.py
+++ b/tests/cover/test_heartbeats.py
@@ -224,7 +224,7 @@
         "backend server restarted"
     ]
     # The end of an earlier attempt does not reduce the new incarnation's load.
-    ended = work_module.Ended(first.request_id, name, failed=True)
+    ended = work_module.AttemptEnd(first.request_id, name, failed=True)
     play.policy.ended(ended, play.now)
     work = play.review(0)
     assert play.next()[work.request_id] == name
--- a/tests/cover/test_hedge_policy.py
+++ b/tests/cover/test_hedge_policy.py
@@ -1,4 +1,4 @@
-"""Placement of hedges beside a silent server by the ``SharedServersPolicy`` policy."""
+"""Placement of hedges beside a silent server by ``SharedServersPolicy``."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 def play():
     """Two engines; the first one has a review and prefills it."""
     harness = shared_policy_harness.PolicyHarness(count=2)
-    harness.silent = review(harness, "a", avoid={"e1"})
+    harness.silent = review(harness, "a", excluded_servers={"e1"})
     assert harness.next() == {"r1": "e0"}
     return harness
 
@@ -23,7 +23,7 @@
 
 def report_silent(play, work):
     """Ask for a hedge at another engine than e0, as the reducer does."""
-    work.avoid = {"e0"}
+    work.excluded_servers = {"e0"}
     play.policy.seek(work, play.now)
 
 
@@ -47,17 +47,19 @@
 def test_each_attempt_is_subtracted_at_its_own_engine(play):
     report_silent(play, play.silent)
     play.next()
-    ended = work_module.Ended("r1", "e1", wasted=True)
+    ended = work_module.AttemptEnd("r1", "e1", wasted=True)
     play.policy.ended(ended, play.now)
     assert running(play) == {"e0": 1}
-    play.policy.ended(work_module.Ended("r1", "e0"), play.now)
+    play.policy.ended(work_module.AttemptEnd("r1", "e0"), play.now)
     assert running(play) == {}
 
 
 def test_hedge_takes_over_when_the_first_attempt_ends(play):
     report_silent(play, play.silent)
     play.next()
-    play.policy.ended(work_module.Ended("r1", "e0", failed=True), play.now)
+    play.policy.ended(
+        work_module.AttemptEnd("r1", "e0", failed=True), play.now
+    )
     assert running(play) == {"e1": 1}
     play.policy.first_output("r1", play.now)
     (load,) = play.policy.own_loads()
@@ -65,30 +67,32 @@
 
 
 def test_queued_work_goes_before_the_hedge_of_a_slow_server(play):
-    other = review(play, "b", avoid={"e0"})
+    other = review(play, "b", excluded_servers={"e0"})
     assert play.next() == {"r2": "e1"}
     report_silent(play, play.silent)
-    review(play, "c", avoid={"e0"})
+    review(play, "c", excluded_servers={"e0"})
     assert next_after(play) == {}
     play.policy.first_output(other.request_id, play.now)
     assert next_after(play) == {"r3": "e1"}
 
 
 def test_hedge_of_an_unreachable_server_goes_before_queued_work(play):
-    other = review(play, "b", avoid={"e0"})
+    other = review(play, "b", excluded_servers={"e0"})
     assert play.next() == {"r2": "e1"}
     report_silent(play, play.silent)
-    review(play, "c", avoid={"e0"})
-    play.chat(avoid={"e1"})
+    review(play, "c", excluded_servers={"e0"})
+    play.chat(excluded_servers={"e1"})
     assert next_after(play) == {"r4": "e0"}
-    unreachable = work_module.Ended("r4", "e0", failed=True, unreachable=True)
+    unreachable = work_module.AttemptEnd(
+        "r4", "e0", failed=True, unreachable=True
+    )
     play.policy.ended(unreachable, play.now)
     play.policy.first_output(other.request_id, play.now)
     assert next_after(play) == {"r1": "e1"}
 
 
 def test_search_continues_until_there_is_room(play):
-    other = review(play, "b", avoid={"e0"})
+    other = review(play, "b", excluded_servers={"e0"})
     play.next()
     report_silent(play, play.silent)
     for _ in range(20):
@@ -110,7 +114,7 @@
     for number in range(10):
         work = play.chat(max_attempts=2)
         assert play.next() == {work.request_id: "e0"}
-        work.avoid = {"e0"}
+        work.excluded_servers = {"e0"}
         play.policy.seek(work, play.now)
     late = play.chat(deadline=1.0)
     assert next_after(play, 0.01) == {late.request_id: "e0"}
@@ -119,10 +123,12 @@
 
 def test_hedges_count_against_the_retry_budget():
     play = shared_policy_harness.PolicyHarness(count=2, slack=0.0)
-    works = [play.chat(max_attempts=2, avoid={"e1"}) for _ in range(20)]
+    works = [
+        play.chat(max_attempts=2, excluded_servers={"e1"}) for _ in range(20)
+    ]
     play.next()
     for work in works:
-        work.avoid = {"e0"}
+        work.excluded_servers = {"e0"}
         play.policy.seek(work, play.now)
     # A fifth of twenty requests, of which four fifths are used.
     assert len(play.next()) == 3
--- a/tests/cover/test_policy_limits.py
+++ b/tests/cover/test_policy_limits.py
@@ -292,7 +292,7 @@
         now = number / 10.0
         policy.offer(make_intake(number), now)
         for item in policy.next(now, directory):
-            ended = work_module.Ended(
+            ended = work_module.AttemptEnd(
                 item.work.request_id, item.server, failed=True
             )
             policy.ended(ended, now)
--- a/tests/cover/test_shared_policy.py
+++ b/tests/cover/test_shared_policy.py
@@ -1,4 +1,4 @@
-"""Placement by the ``SharedServersPolicy`` policy on engines that instances share."""
+"""Placement by ``SharedServersPolicy`` on engines that instances share."""
 
 import collections
 import types
@@ -24,7 +24,9 @@
         work = play.review(1)
         chosen.add(play.next()[work.request_id])
         play.policy.first_output(work.request_id, play.now)
-        play.policy.ended(work_module.Ended(work.request_id, ""), play.now)
+        play.policy.ended(
+            work_module.AttemptEnd(work.request_id, ""), play.now
+        )
         play.now += 0.5
     assert len(chosen) == 1
 
@@ -227,7 +229,9 @@
         name = play.next()[work.request_id]
         own += int(name[1:]) % 3 == 0
         play.policy.first_output(work.request_id, play.now)
-        play.policy.ended(work_module.Ended(work.request_id, name), play.now)
+        play.policy.ended(
+            work_module.AttemptEnd(work.request_id, name), play.now
+        )
     assert choices > 20
     assert own == choices
 
@@ -260,7 +264,7 @@
     play = shared_policy_harness.PolicyHarness(count=2)
     work = play.review(1)
     server = play.next()[work.request_id]
-    ended = work_module.Ended(
+    ended = work_module.AttemptEnd(
         work.request_id, server, failed=True, unreachable=True
     )
     play.policy.ended(ended, play.now)
@@ -268,7 +272,7 @@
     assert play.next()[again.request_id] != server
     play.now += 5.0
     for request_id in (again.request_id,):
-        play.policy.ended(work_module.Ended(request_id, ""), play.now)
+        play.policy.ended(work_module.AttemptEnd(request_id, ""), play.now)
     later = play.review(1)
     assert later.request_id in play.next()
 
@@ -278,7 +282,7 @@
     work = play.review(1)
     server = play.next()[work.request_id]
     play.policy.ended(
-        work_module.Ended(
+        work_module.AttemptEnd(
             work.request_id, server, failed=True, unreachable=True
         ),
         play.now,
