--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log.py
@@ -103,7 +103,7 @@
             core, self._election, self._freshness
         )
         self._founding = bootstrap_module.Founding(
-            core, bootstrap if options.may_found else ()
+            core, bootstrap if options.may_bootstrap else ()
         )
         self._catch_up = catch_up_module.CatchUp(core, neighbours)
         self._proposals = proposals_module.Proposals(
@@ -116,14 +116,14 @@
             core, self._freshness, self._catch_up, neighbours
         )
         self._polling = polling_module.FreshnessPolling(
-            core, self._freshness, neighbours, options.proves_often
+            core, self._freshness, neighbours, options.polls_freshness
         )
         self._voter_repair = repair_module.VoterRepair(
             core,
             self._leadership,
             self._founding,
             neighbours,
-            options.wanted_voters,
+            options.target_voters,
         )
         # True if the disk held a log when this process started.
         self.resumed = False
--- a/tests/common/duty_world.py
+++ b/tests/common/duty_world.py
@@ -114,7 +114,7 @@
             domain,
             seeds=list(KEEPERS),
             bootstrap=KEEPERS,
-            log_options=quorum_log_options.LogOptions(may_found=first),
+            log_options=quorum_log_options.LogOptions(may_bootstrap=first),
             duty_options=OPTIONS,
             **options,
         )
--- a/tests/cover/test_keeper_repair.py
+++ b/tests/cover/test_keeper_repair.py
@@ -8,7 +8,7 @@
 
 from tests.common import quorum_world
 
-OPTIONS = quorum_log_options.LogOptions(wanted_voters=3, proves_often=True)
+OPTIONS = quorum_log_options.LogOptions(target_voters=3, polls_freshness=True)
 
 
 def started_world(seed=1, **counts):
@@ -129,7 +129,7 @@
     # After a restart of all instances, a keeper has an empty disk.  If it
     # founded a second log, the instances that join it would serve a different
     # configuration.
-    options = quorum_log_options.LogOptions(may_found=False)
+    options = quorum_log_options.LogOptions(may_bootstrap=False)
     world = quorum_world.QuorumWorld(random.Random(1), options=options)
     world.run(5.0)
     assert not world.leader()
