--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -114,7 +114,7 @@
         policy.ended(ended, clock.now)
         running.extend(policy.next(clock.now, directory))
     server = directory.listed[number % len(directory.listed)]
-    server.heard = clock.now
+    server.heard_at = clock.now
     policy.observe(server, clock.now)
     return decision_seconds
 
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/instance_view.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/instance_view.py
@@ -34,7 +34,7 @@
             self.servers[name] = record
             self._server_list = list(self.servers.values())
         record.announcement = announcement
-        record.heard = heard
+        record.heard_at = heard
         record.expires = heard + lease
         return record
 
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/resource_views.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/resource_views.py
@@ -267,7 +267,7 @@
             server.announcement.failure_domain,
             server.serves(now),
             server.announcement.leaving,
-            round(now - server.heard, 3),
+            round(now - server.heard_at, 3),
             server.announcement,
         )
         for name, server in sorted(host.state.registry.servers.items())
--- a/packages/dandeliontrail/src/dandeliontrail/components/server_loads.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/server_loads.py
@@ -148,7 +148,7 @@
             if self._is_aggregator():
                 # The sender also considers itself the first relay.
                 return []
-            loads = server_loads.without(loads, self._sent_loads)
+            loads = server_loads.subtract_own(loads, self._sent_loads)
             self._state.members.note_told_silent(message.silent, now)
         elif message.of and not self._is_aggregator():
             # The sender takes this instance for the first relay of its
@@ -157,7 +157,9 @@
             return []
         self._reporting_instances[source.instance] = now
         name = message.of or source.instance
-        self._state.loads.take(name, source.failure_domain, loads, now)
+        self._state.loads.replace_report(
+            name, source.failure_domain, loads, now
+        )
         self._policy.heard_reads(message.reads, now)
         return (
             self._answer_as_relay(source, message, now)
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/server_loads.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/server_loads.py
@@ -92,7 +92,7 @@
     )
 
 
-def without(loads, own):
+def subtract_own(loads, own):
     """Return ``loads`` with the contribution ``own`` subtracted.
 
     The sum that a relay sends includes the last report of this instance,
@@ -128,7 +128,7 @@
         self._said = {}
         self._sums = {}
 
-    def take(self, reporter, domain, loads, now):
+    def replace_report(self, reporter, domain, loads, now):
         """Replace the previous report of a reporter by ``loads``.
 
         The reporter is an instance of ``domain`` or, for a sum that a relay
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
@@ -65,14 +65,14 @@
 class Server(msgspec.Struct):
     """A backend server as known to this instance.
 
-    ``expires`` and ``heard`` are times on this instance's monotonic clock;
-    ``heard`` is when any instance first received the announcement.
+    ``expires`` and ``heard_at`` are times on this instance's monotonic clock;
+    ``heard_at`` is when any instance first received the announcement.
     ``content_hash`` covers the announcement without sequence and load,
     ``lease`` the duration of the lease in seconds.
     """
 
     announcement: announcements.Announcement
-    heard: float
+    heard_at: float
     expires: float
     content_hash: int = 0
     lease: float = MAX_LEASE_SECONDS
@@ -84,7 +84,7 @@
     def load_age(self, now):
         """Return the age of the server's load report in seconds."""
         measured = self.announcement.load.measured_ms_ago / 1000.0
-        return max(0.0, now - self.heard) + measured
+        return max(0.0, now - self.heard_at) + measured
 
 
 class ServerRegistry:
@@ -142,11 +142,11 @@
         """
         if announcement.epoch != server.announcement.epoch:
             return False
-        if server.announcement.leaving or heard <= server.heard:
+        if server.announcement.leaving or heard <= server.heard_at:
             return False
         if content_hash(announcement) != server.content_hash:
             return False
-        server.heard = heard
+        server.heard_at = heard
         server.expires = heard + self._lease_seconds(server.announcement)
         self._index(server)
         return True
@@ -181,15 +181,15 @@
             announcement = msgspec.structs.replace(
                 announcement, sequence=before.sequence
             )
-            heard = server.heard
+            heard = server.heard_at
         elif before.epoch == announcement.epoch:
             # A relay may have renewed the lease after that announcement.
-            heard = max(heard, server.heard)
+            heard = max(heard, server.heard_at)
         if before.failure_domain != announcement.failure_domain:
             self._remove_from_digests(announcement.backend_server)
         # Updated in place, since the lists of the directory refer to it.
         server.announcement = announcement
-        server.heard = heard
+        server.heard_at = heard
         server.expires = heard + self._lease_seconds(announcement)
         _check_record_order(before, announcement)
 
@@ -211,13 +211,13 @@
         ):
             return None
         load = _decode_load(renewal) or _aged_load(
-            before.load, now - server.heard
+            before.load, now - server.heard_at
         )
         server.announcement = msgspec.structs.replace(
             before, sequence=renewal.sequence, load=load
         )
-        server.heard = now - age
-        server.expires = server.heard + self._lease_seconds(before)
+        server.heard_at = now - age
+        server.expires = server.heard_at + self._lease_seconds(before)
         self._index(server)
         _check_record_order(before, server.announcement)
         return True
@@ -246,14 +246,14 @@
             announcement.epoch,
             announcement.sequence,
             server.content_hash,
-            round(max(0.0, now - server.heard), 3),
+            round(max(0.0, now - server.heard_at), 3),
             [load.running, load.waiting, load.kv_used, load.measured_ms_ago],
         )
 
     def record_of(self, name, now):
         """Return a server's complete record to send to other instances."""
         server = self.servers[name]
-        age = round(max(0.0, now - server.heard), 3)
+        age = round(max(0.0, now - server.heard_at), 3)
         return ServerRecord(server.announcement, age)
 
     def serving(self, now):
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/vouches.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/vouches.py
@@ -63,7 +63,7 @@
 
     def vouch(self, domain, now):
         """Return the vouch for all of them."""
-        heard = [(item.heard, name) for name, item in self.servers.items()]
+        heard = [(item.heard_at, name) for name, item in self.servers.items()]
         oldest = heapq.nsmallest(MAX_LATE + 1, heard)
         common, _ = oldest[-1] if oldest else (now, "")
         # An age is rounded up: it may be too great, but never too small.
@@ -88,11 +88,11 @@
         heard = now - vouch.age - delay
         for name, server in self.servers.items():
             # Hot path: runs for every server and relay once a second.
-            if server.heard < heard and name not in vouch.late:
-                server.heard = heard
+            if server.heard_at < heard and name not in vouch.late:
+                server.heard_at = heard
                 server.expires = heard + server.lease
         for name, age in vouch.late.items():
             server = self.servers[name]
-            server.heard = max(server.heard, now - age - delay)
-            server.expires = server.heard + server.lease
+            server.heard_at = max(server.heard_at, now - age - delay)
+            server.expires = server.heard_at + server.lease
         return True
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/crash_suspects.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/crash_suspects.py
@@ -76,7 +76,7 @@
     return (
         server is not None
         and server.announcement.epoch == epoch
-        and server.heard > at + ALIVE_MARGIN_SECONDS
+        and server.heard_at > at + ALIVE_MARGIN_SECONDS
         and server.expires > now
     )
 
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/fleet.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/fleet.py
@@ -63,7 +63,7 @@
         self.servers[announcement.backend_server] = server
         engine.announce(announcement.slots)
         load = announcement.load
-        measured = server.heard - load.measured_ms_ago / 1000.0
+        measured = server.heard_at - load.measured_ms_ago / 1000.0
         if self._options.aged_reports:
             engine.report(load, measured)
         if self._options.shared_room:
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/shared_policy.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/shared_policy.py
@@ -327,7 +327,7 @@
         for server in servers:
             url = server.announcement.url
             known = newest.get(url)
-            if known is None or server.heard > known.heard:
+            if known is None or server.heard_at > known.heard_at:
                 newest[url] = server
         usable = {}
         for server in newest.values():
--- a/tests/common/prompt_engine.py
+++ b/tests/common/prompt_engine.py
@@ -235,4 +235,4 @@
         service=service,
         slots=slots,
     )
-    return servers.Server(announcement, heard=0.0, expires=1e9)
+    return servers.Server(announcement, heard_at=0.0, expires=1e9)
--- a/tests/common/prompt_world.py
+++ b/tests/common/prompt_world.py
@@ -215,8 +215,8 @@
             for name, (running, unread) in total.items()
         ]
         for instance, own, mine in zip(self.instances, loads, reads):
-            others = server_loads.without(everyone, own)
-            instance.loads.take("others", "fd", others, self.now)
+            others = server_loads.subtract_own(everyone, own)
+            instance.loads.replace_report("others", "fd", others, self.now)
             for said in reads:
                 if said is not mine and said:
                     instance.policy.heard_reads(said, self.now)
--- a/tests/cover/test_heartbeats.py
+++ b/tests/cover/test_heartbeats.py
@@ -210,7 +210,7 @@
     play.policy.observe(server, play.now)
     first = play.review(0)
     assert play.next()[first.request_id] == name
-    play.loads.take(
+    play.loads.replace_report(
         "other", "fd1", [server_loads.Load(name, 20, 40_000)], play.now
     )
     assert play.policy.own_loads()
--- a/tests/cover/test_relays.py
+++ b/tests/cover/test_relays.py
@@ -169,7 +169,7 @@
     relay.learn(announce("e2", 2), 0.0, 2.0)
     assert other.apply_vouch(relay.vouch("fd1", 2.0), 0.0, 2.0)
     # Ages are rounded up, never down.
-    assert 1.98 <= other.servers["e2"].heard <= 2.0
+    assert 1.98 <= other.servers["e2"].heard_at <= 2.0
     relay.learn(announce("e1", 2, leaving=True), 0.0, 3.0)
     assert not other.apply_vouch(relay.vouch("fd1", 3.0), 0.0, 3.0)
     assert not other.servers["e1"].serves(4.1)
--- a/tests/cover/test_shared_policy.py
+++ b/tests/cover/test_shared_policy.py
@@ -104,11 +104,11 @@
 def test_while_a_large_prompt_waits_smaller_ones_wait_too():
     play = shared_policy_harness.PolicyHarness(count=2)
     busy = [server_loads.Load(f"e{n}", 2, 3_000) for n in range(2)]
-    play.loads.take("other", "fd1", busy, 0.0)
+    play.loads.replace_report("other", "fd1", busy, 0.0)
     large = play.review(1, own=30_000)
     small = play.review(1, own=4_000)
     assert play.next() == {}
-    play.loads.take("other", "fd1", [], 0.1)
+    play.loads.replace_report("other", "fd1", [], 0.1)
     placed = play.next()
     assert large.request_id in placed
     assert small.request_id not in placed
@@ -117,7 +117,7 @@
 def test_without_a_large_prompt_smaller_ones_fill_an_engine():
     play = shared_policy_harness.PolicyHarness(count=2)
     busy = [server_loads.Load(f"e{n}", 2, 1_500) for n in range(2)]
-    play.loads.take("other", "fd1", busy, 0.0)
+    play.loads.replace_report("other", "fd1", busy, 0.0)
     chat = play.ask((("own", 4_000),))
     assert chat.request_id in play.next()
 
@@ -125,10 +125,10 @@
 def test_work_of_other_instances_counts():
     play = shared_policy_harness.PolicyHarness(count=2)
     busy = [server_loads.Load(f"e{n}", 9, 50_000) for n in range(2)]
-    play.loads.take("other", "fd1", busy, 0.0)
+    play.loads.replace_report("other", "fd1", busy, 0.0)
     work = play.review(1)
     assert play.next() == {}
-    play.loads.take("other", "fd1", [], 0.1)
+    play.loads.replace_report("other", "fd1", [], 0.1)
     assert work.request_id in play.next()
 
 
@@ -297,7 +297,7 @@
     play = shared_policy_harness.PolicyHarness(count=2)
     old, new = play.directory.servers
     new.announcement.url = old.announcement.url
-    new.heard = 5.0
+    new.heard_at = 5.0
     for number in range(5):
         work = play.review(number)
         assert play.next()[work.request_id] == "e1"
@@ -315,8 +315,8 @@
 
 def test_the_loads_of_others_expire():
     held = server_loads.LoadTable()
-    held.take("a", "fd0", [server_loads.Load("e0", 3, 500)], 0.0)
-    held.take("b", "fd1", [server_loads.Load("e0", 1, 100)], 0.8)
+    held.replace_report("a", "fd0", [server_loads.Load("e0", 3, 500)], 0.0)
+    held.replace_report("b", "fd1", [server_loads.Load("e0", 1, 100)], 0.8)
     assert (held.running("e0"), held.unread("e0")) == (4, 600)
     held.expire(1.5)
     assert (held.running("e0"), held.unread("e0")) == (1, 100)
@@ -324,14 +324,14 @@
 
 def test_a_relay_sums_the_loads_of_its_domain_and_of_all():
     held = server_loads.LoadTable()
-    held.take("a", "fd0", [server_loads.Load("e0", 3, 500)], 0.0)
-    held.take("fd1", "fd1", [server_loads.Load("e0", 10, 1000)], 0.0)
+    held.replace_report("a", "fd0", [server_loads.Load("e0", 3, 500)], 0.0)
+    held.replace_report("fd1", "fd1", [server_loads.Load("e0", 10, 1000)], 0.0)
     own = [server_loads.Load("e0", 1, 1)]
     assert held.sum_of(own, "fd0") == [server_loads.Load("e0", 4, 501)]
     whole = held.sum_of_all(own)
     assert whole == [server_loads.Load("e0", 14, 1501)]
     own = [server_loads.Load("e0", 3, 500)]
-    assert server_loads.without(whole, own) == [
+    assert server_loads.subtract_own(whole, own) == [
         server_loads.Load("e0", 11, 1001)
     ]
 
@@ -341,8 +341,10 @@
     # instance's own loads.  Counted twice, the work would seem twice what it
     # is, and its domain would leave engines idle.
     held = server_loads.LoadTable()
-    held.take(server_loads.ALL, "fd0", [server_loads.Load("e0", 3, 500)], 0.0)
-    held.take("a", "fd0", [server_loads.Load("e0", 3, 500)], 0.1)
+    held.replace_report(
+        server_loads.ALL, "fd0", [server_loads.Load("e0", 3, 500)], 0.0
+    )
+    held.replace_report("a", "fd0", [server_loads.Load("e0", 3, 500)], 0.1)
     assert held.sum_of_all([]) == [server_loads.Load("e0", 3, 500)]
 
 
