--- a/packages/dandeliontrail-node/src/dandeliontrail_node/duty_client.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/duty_client.py
@@ -21,7 +21,7 @@
     headers: dict
 
 
-class DutyDialect(abc.ABC):
+class DutyRequestEncoder(abc.ABC):
     """Encodes calls as HTTP requests in the format of a platform."""
 
     @abc.abstractmethod
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/connections.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/connections.py
@@ -62,7 +62,7 @@
         return False
 
 
-class Connections:
+class ConnectionPool:
     """The idle connections per server, most recently used first."""
 
     def __init__(self, connect_seconds):
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/dialect.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/dialect.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class Incoming(msgspec.Struct):
+class IncomingRequest(msgspec.Struct):
     """The head of a caller's request; its body has not been read.
 
     ``headers`` are those to forward, without hop-by-hop headers and those
@@ -50,7 +50,7 @@
 
     @abc.abstractmethod
     def read(self, head):
-        """Return the :class:`Incoming` of a ``http_server.Head``.
+        """Return the :class:`IncomingRequest` of a ``http_server.Head``.
 
         Raises ``wsgi.Problem`` if the head is malformed.
         """
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/forwarder.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/forwarder.py
@@ -32,7 +32,7 @@
 
 # Headers that apply to a single connection (RFC 9110, section 7.6.1) or that
 # this instance's HTTP server writes itself.
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "content-length",
@@ -96,7 +96,7 @@
         headers = [
             (name, value)
             for name, value in answer.headers
-            if name.lower() not in HOP_HEADERS
+            if name.lower() not in HOP_BY_HOP_HEADERS
         ]
         status = wsgi.status_line(answer.status)
         if output.events is None:
@@ -121,7 +121,7 @@
                 incoming.request_id,
                 incoming.host,
                 incoming.target,
-                tokens.hash_of(incoming.key) if incoming.key else "",
+                tokens.hash_token(incoming.key) if incoming.key else "",
                 incoming.timeout,
                 incoming.model,
                 incoming.parts,
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/host.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/host.py
@@ -234,11 +234,11 @@
         """Return the number of queued requests of each class."""
         return self.reducer.waiting()
 
-    def expect_write(self, write_id, result):
+    def register_write(self, write_id, result):
         """Register ``result``, an async result, for the outcome of a write."""
         self._pending_writes[write_id] = result
 
-    def forget_write(self, write_id):
+    def unregister_write(self, write_id):
         """Unregister the async result of a write."""
         self._pending_writes.pop(write_id, None)
 
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/callers.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/callers.py
@@ -165,7 +165,7 @@
         key = tokens.bearer_token(environ)
         return events.RequestReceived(
             request_id=environ[REQUEST_ID_KEY],
-            key_hash=tokens.hash_of(key) if key else "",
+            key_hash=tokens.hash_token(key) if key else "",
             class_name=environ.get("HTTP_X_REQUEST_CLASS", ""),
             timeout=_requested_timeout(environ),
             idempotency_key=environ.get("HTTP_IDEMPOTENCY_KEY", ""),
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/keepers.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/keepers.py
@@ -59,10 +59,10 @@
         )
     request_id = str(uuid.uuid4())
     pending_answer = gevent_event.AsyncResult()
-    host.expect_write(request_id, pending_answer)
+    host.register_write(request_id, pending_answer)
     host.submit(events.VoterChangeAsked(request_id, actions[method], name))
     answer = pending_answer.wait(ANSWER_TIMEOUT_SECONDS)
-    host.forget_write(request_id)
+    host.unregister_write(request_id)
     if answer is None:
         raise wsgi.Problem(
             504,
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/writes.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/writes.py
@@ -172,10 +172,10 @@
 
     def _submit_and_wait(self, write_id, event):
         pending_result = gevent_event.AsyncResult()
-        self._host.expect_write(write_id, pending_result)
+        self._host.register_write(write_id, pending_result)
         self._host.submit(event)
         result = pending_result.wait(WRITE_TIMEOUT_SECONDS)
-        self._host.forget_write(write_id)
+        self._host.unregister_write(write_id)
         if result is None:
             return changes.Result(
                 changes.ResultKind.UNKNOWN,
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/tokens.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/tokens.py
@@ -10,7 +10,7 @@
 UNSIGNED = "unsigned"
 
 
-def hash_of(secret):
+def hash_token(secret):
     """Return the hash of a secret, as it is stored and compared."""
     digest = hashlib.sha256(secret.encode()).hexdigest()
     return f"sha256:{digest}"
@@ -58,7 +58,7 @@
         All lines are compared, each in constant time, so that the response
         time reveals nothing about how close a guess is.
         """
-        given = hash_of(token)
+        given = hash_token(token)
         matching = ""
         for name, stored in self._hashes.items():
             if hmac.compare_digest(given, stored):
--- a/tests/cover/test_connecting.py
+++ b/tests/cover/test_connecting.py
@@ -41,7 +41,7 @@
     # connection.  Looking up a numeric address used a resolver thread, and on
     # a busy core the request waited for two thread switches.
     with listener() as address, no_lookups():
-        conn = connections.Connections(0.2).open(address)
+        conn = connections.ConnectionPool(0.2).open(address)
         conn.close()
 
 
--- a/tests/cover/test_forwarding.py
+++ b/tests/cover/test_forwarding.py
@@ -12,7 +12,7 @@
 ID = dialect.REQUEST_ID
 
 
-def answers(status=200, body=b"done"):
+def answer_script(status=200, body=b"done"):
     """Return a server script that gives every request the same answer."""
 
     def script(server, sock, head):
@@ -29,7 +29,7 @@
         yield found
 
 
-def start(made, *scripts):
+def start_with_servers(made, *scripts):
     """Return an instance and the servers that it knows, one per script."""
     entry = made.entry()
     servers = [made.server(script) for script in scripts]
@@ -39,7 +39,7 @@
 
 
 def test_passes_a_request_and_its_answer_on_unchanged(made):
-    entry, (server,) = start(made, answers(200, b"a b"))
+    entry, (server,) = start_with_servers(made, answer_script(200, b"a b"))
     reply = made.call(
         entry, "POST", "/order/x%20y?q=1", body=b"{}", headers=[("X-Own", "v")]
     )
@@ -52,7 +52,7 @@
 
 
 def test_a_server_learns_the_organisation_and_never_the_key(made):
-    entry, (server,) = start(made, answers())
+    entry, (server,) = start_with_servers(made, answer_script())
     forged = [(dialect.ORGANISATION, "other"), (dialect.PRIORITY, "0")]
     made.call(entry, "GET", "/read/", headers=forged)
     (head,) = server.ran
@@ -64,7 +64,9 @@
 
 
 def test_a_failure_of_a_repeatable_request_is_tried_elsewhere(made):
-    entry, servers = start(made, answers(500, b"no"), answers(200, b"yes"))
+    entry, servers = start_with_servers(
+        made, answer_script(500, b"no"), answer_script(200, b"yes")
+    )
     for number in range(6):
         reply = made.call(entry, "GET", "/read/", f"r{number}")
         assert (reply.status, reply.body) == (200, b"yes")
@@ -76,7 +78,7 @@
     def breaks(server, sock, head):
         return "close"
 
-    entry, servers = start(made, breaks, breaks)
+    entry, servers = start_with_servers(made, breaks, breaks)
     reply = made.call(entry, "POST", "/order/", body=b"{}")
     assert reply.status == 502
     assert sum(len(server.ran) for server in servers) == 1
@@ -89,7 +91,7 @@
             platform_world.whole(503, b"", platform_world.id_of(head), extra)
         )
 
-    entry, servers = start(made, full, answers(200, b"ok"))
+    entry, servers = start_with_servers(made, full, answer_script(200, b"ok"))
     number = 0
     while not servers[0].ran:
         # Which of the two is tried first is random.
@@ -115,7 +117,7 @@
         late = platform_world.whole(200, b"late", platform_world.id_of(head))
         sock.sendall(late)
 
-    entry, (server,) = start(made, twice)
+    entry, (server,) = start_with_servers(made, twice)
     for number in range(5):
         reply = made.call(entry, "GET", "/read/", f"r{number}")
         assert reply.body == f"for r{number}".encode()
@@ -127,7 +129,7 @@
         sock.sendall(b"\x00\x01 this is not HTTP\r\n\r\n")
         return "close"
 
-    entry, _ = start(made, garbage)
+    entry, _ = start_with_servers(made, garbage)
     reply = made.call(entry, "POST", "/order/", body=b"{}")
     assert reply.status == 502
     assert platform_world.SEAL.lower() not in reply.headers
@@ -142,7 +144,7 @@
         )
         return "close"
 
-    entry, _ = start(made, cut)
+    entry, _ = start_with_servers(made, cut)
     assert made.call(entry, "POST", "/order/", body=b"{}").status == 502
 
 
@@ -175,7 +177,7 @@
 
 
 def test_passes_events_on_as_they_come(made):
-    entry, _ = start(made, streams(1, 30))
+    entry, _ = start_with_servers(made, streams(1, 30))
     sock = made.connect(entry)
     headers = platform_world.caller_headers("r1")
     platform_world.send(sock, "POST", "/chat/", headers, b"{}")
@@ -189,7 +191,7 @@
     # A server crashes in the middle of an event.  If the partial event were
     # relayed, the caller would see it joined with the first event of the next
     # server.
-    entry, servers = start(
+    entry, servers = start_with_servers(
         made, streams(1, 5, "mid-event"), streams(1, 5, "mid-event")
     )
     whole = made.server(streams(1, 9))
@@ -203,7 +205,7 @@
 
 
 def test_a_stream_that_may_not_be_repeated_is_visibly_truncated(made):
-    entry, (server,) = start(made, streams(1, 3, "close"))
+    entry, (server,) = start_with_servers(made, streams(1, 3, "close"))
     reply = made.call(entry, "POST", "/report/", body=b"{}")
     assert event_ids(reply) == ["id: 1", "id: 2", "id: 3"]
     assert not reply.whole
@@ -220,7 +222,7 @@
             stopped.append(time.monotonic())
         return "close"
 
-    entry, (server,) = start(made, waits)
+    entry, (server,) = start_with_servers(made, waits)
     sock = made.connect(entry)
     headers = platform_world.caller_headers("r1")
     platform_world.send(sock, "POST", "/chat/", headers, b"{}")
@@ -242,7 +244,7 @@
         )
         finished.append(head)
 
-    entry, (server,) = start(made, slow)
+    entry, (server,) = start_with_servers(made, slow)
     sock = made.connect(entry)
     headers = platform_world.caller_headers("r1")
     platform_world.send(sock, "POST", "/order/", headers, b"{}")
@@ -255,7 +257,7 @@
     def silent(server, sock, head):
         gevent.sleep(5.0)
 
-    entry, _ = start(made, silent)
+    entry, _ = start_with_servers(made, silent)
     began = time.monotonic()
     reply = made.call(entry, "POST", "/order/", body=b"{}", left="9000")
     assert reply.status == 504
@@ -272,7 +274,7 @@
 
 
 def test_an_unknown_route_or_key_is_turned_away(made):
-    entry, (server,) = start(made, answers())
+    entry, (server,) = start_with_servers(made, answer_script())
     assert made.call(entry, "GET", "/nowhere/").status == 404
     assert made.call(entry, "GET", "/read/", key="wrong").status == 401
     assert made.call(entry, "GET", "/read/", key="").status == 401
@@ -291,7 +293,7 @@
 def test_a_request_inside_another_never_reaches_a_server(made, framing):
     # Request smuggling: two parsers disagree on where the first request ends,
     # so what one reads as its body the other runs as a second request.
-    entry, (server,) = start(made, answers())
+    entry, (server,) = start_with_servers(made, answer_script())
     sock = made.connect(entry)
     sock.sendall(
         f"POST /order/ HTTP/1.1\r\nHost: {platform_world.HOST}\r\n"
@@ -312,7 +314,7 @@
             platform_world.whole(421, b"", platform_world.id_of(head))
         )
 
-    entry, servers = start(made, other, answers(200, b"ok"))
+    entry, servers = start_with_servers(made, other, answer_script(200, b"ok"))
     for number in range(8):
         reply = made.call(entry, "POST", "/order/", f"r{number}", body=b"{}")
         assert reply.status == 200
@@ -320,7 +322,9 @@
 
 
 def test_a_leaving_server_gets_no_new_work(made):
-    entry, servers = start(made, answers(200, b"a"), answers(200, b"b"))
+    entry, servers = start_with_servers(
+        made, answer_script(200, b"a"), answer_script(200, b"b")
+    )
     reply = made.heartbeat(servers[0], state="draining")
     assert reply.status == 200
     gevent.sleep(0.3)
@@ -331,7 +335,7 @@
 
 
 def test_a_draining_entry_is_not_ready_and_cuts_nothing(made):
-    entry, _ = start(made, streams(1, 20))
+    entry, _ = start_with_servers(made, streams(1, 20))
     sock = made.connect(entry)
     headers = platform_world.caller_headers("r1")
     platform_world.send(sock, "POST", "/chat/", headers, b"{}")
--- a/tests/cover/test_forwarding_ends.py
+++ b/tests/cover/test_forwarding_ends.py
@@ -55,14 +55,14 @@
     server = made.server(answers_500)
     made.knows(entry, server)
     log = LogRecords(entry)
-    connect = connections.Connections.open
+    connect = connections.ConnectionPool.open
 
     def open_while_ending(pool, address):
         conn = connect(pool, address)
         entry.host.submit(events.CutShort("r1"))
         return conn
 
-    monkeypatch.setattr(connections.Connections, "open", open_while_ending)
+    monkeypatch.setattr(connections.ConnectionPool, "open", open_while_ending)
     reply = made.call(entry, "POST", "/order/", body=b"{}")
     assert reply.status == 503
     assert server.ran == []
--- a/tests/cover/test_heartbeats.py
+++ b/tests/cover/test_heartbeats.py
@@ -241,8 +241,8 @@
     # incarnation could have run the request.
     with platform_world.PlatformWorld() as platform:
         assert platform.apply(platform_world.manifest(1)).status == 200
-        entry, (server,) = test_forwarding.start(
-            platform, test_forwarding.answers(200, b"done")
+        entry, (server,) = test_forwarding.start_with_servers(
+            platform, test_forwarding.answer_script(200, b"done")
         )
         platform.heartbeat(server, born=1000)
         registry = entry.host.state.registry
--- a/tests/cover/test_silences.py
+++ b/tests/cover/test_silences.py
@@ -128,7 +128,7 @@
 
 def test_an_answer_that_is_late_is_waited_for_where_there_is_one_server(made):
     entry, server, asked = start_call(
-        made, delayed(test_forwarding.answers()), "/read/"
+        made, delayed(test_forwarding.answer_script()), "/read/"
     )
     reply = asked.get()
     assert (reply.status, reply.body) == (200, b"done")
@@ -248,7 +248,7 @@
 def test_the_first_server_speaks_while_the_other_one_has_begun(made, path):
     script = pausing(1.5, before=(3,))
     if path == "/read/":
-        script = delayed(test_forwarding.answers(), 1.5)
+        script = delayed(test_forwarding.answer_script(), 1.5)
     entry, first, asked = start_call(made, script, path)
     second = add_server(made, entry, never_answers)
     reply = asked.get()
--- a/tests/cover/test_starts.py
+++ b/tests/cover/test_starts.py
@@ -23,7 +23,7 @@
     # to retry in a second, they would have used their only retry.
     with platform_world.PlatformWorld() as deployment:
         assert deployment.apply(platform_world.manifest(1)).status == 200
-        server = deployment.server(test_forwarding.answers(200, b"done"))
+        server = deployment.server(test_forwarding.answer_script(200, b"done"))
         began = time.monotonic()
         entry = deployment.program("entry")
         calls = [
