--- a/packages/dandeliontrail-node/src/dandeliontrail_node/instance.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/instance.py
@@ -43,14 +43,16 @@
 class Instance:
     """One instance, running between ``__enter__`` and ``__exit__``.
 
-    ``face`` provides the listeners beside the peer listener; by default it is
-    :class:`.standard_listeners.StandardListeners`.  Without
+    ``listener_factory`` provides the listeners beside the peer listener; by
+    default it is :class:`.standard_listeners.StandardListeners`.  Without
     ``settings_path``, SIGHUP does not reload the log level.
     """
 
-    def __init__(self, cfg, logger, settings_path=None, face=None):
+    def __init__(self, cfg, logger, settings_path=None, listener_factory=None):
         self._cfg = cfg
-        self._face = face or standard_listeners.StandardListeners()
+        self._listener_factory = (
+            listener_factory or standard_listeners.StandardListeners()
+        )
         self._settings_path = settings_path
         self._logger = logger
         self._stack = contextlib.ExitStack()
@@ -154,11 +156,11 @@
             keeper=keeper,
             bootstrap=cfg.bootstrap_keepers,
             keeps_usage=storage is not None,
-            **self._face.reducer_options(),
+            **self._listener_factory.reducer_options(),
         )
 
     def _listen(self):
-        inner = listener_factory_module.InstanceParts(
+        parts = listener_factory_module.InstanceParts(
             self._cfg,
             self.host,
             self._engines,
@@ -171,7 +173,7 @@
             self.host, self._key, self._cfg.limits, self._link
         )
         listeners = [
-            *self._face.listeners(inner),
+            *self._listener_factory.listeners(parts),
             listener_factory_module.Listener(
                 "peers", self._cfg.listen.peers, peers_app
             ),
@@ -243,11 +245,15 @@
         A part that cannot be read keeps its present value; the others are
         reloaded.
         """
-        for part in (*self._face.reloadable(), self._key, self._tls):
+        for part in (
+            *self._listener_factory.reloadable(),
+            self._key,
+            self._tls,
+        ):
             self._reload_part(part.reload)
         if self._settings_path:
             self._reload_part(self._reload_log_level)
-        self._face.reloaded(self.host)
+        self._listener_factory.reloaded(self.host)
         self._logger.info("reloaded")
 
     def _reload_part(self, reload):
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listener_factory.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listener_factory.py
@@ -39,11 +39,11 @@
     stack: contextlib.ExitStack
 
 
-class Face(abc.ABC):
+class ListenerFactory(abc.ABC):
     """Builds the listeners of an instance and chooses its policy."""
 
     @abc.abstractmethod
-    def listeners(self, inner):
+    def listeners(self, parts):
         """Return the :class:`Listener` objects, except the peer listener."""
 
     def reducer_options(self):
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/standard_listeners.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/standard_listeners.py
@@ -8,15 +8,15 @@
 from .listeners import operators
 
 
-class StandardListeners(listener_factory.Face):
+class StandardListeners(listener_factory.ListenerFactory):
     """One listener each for callers, backend servers and operators."""
 
     def __init__(self):
         self._authenticators = {}
 
-    def listeners(self, inner):
+    def listeners(self, parts):
         """Return the three listeners."""
-        credentials = inner.cfg.credentials
+        credentials = parts.cfg.credentials
         for name, path in (
             ("operators", credentials.operator_tokens_file),
             ("backend_servers", credentials.backend_tokens_file),
@@ -27,20 +27,20 @@
         operators_authenticator = self._authenticators["operators"]
         apps = {
             "callers": callers.CallersApp(
-                inner.host, inner.engines, inner.cfg.limits, inner.drain
+                parts.host, parts.engines, parts.cfg.limits, parts.drain
             ),
             "backend_servers": backend_servers.BackendServersApp(
-                inner.host, self._authenticators["backend_servers"]
+                parts.host, self._authenticators["backend_servers"]
             ),
             "operators": drain_request.DrainRequests(
-                operators.OperatorsApp(inner.host, operators_authenticator),
+                operators.OperatorsApp(parts.host, operators_authenticator),
                 operators_authenticator,
-                inner.on_term,
+                parts.on_term,
             ),
         }
         return [
             listener_factory.Listener(
-                name, getattr(inner.cfg.listen, name), app
+                name, getattr(parts.cfg.listen, name), app
             )
             for name, app in apps.items()
         ]
--- a/tests/common/platform_world.py
+++ b/tests/common/platform_world.py
@@ -274,12 +274,12 @@
         )
         logger = logging.getLogger(f"test.{role}{self._count}")
         logger.propagate = False
-        face = programs.FACES[role](platform_settings, "")
+        listener_factory = programs.FACES[role](platform_settings, "")
         running = self._stack.enter_context(
             instance.Instance(
                 programs.instance_settings(platform_settings),
                 logger,
-                face=face,
+                listener_factory=listener_factory,
             )
         )
         running.ip = ip
