--- a/tests/cover/test_domain_cuts.py
+++ b/tests/cover/test_domain_cuts.py
@@ -15,13 +15,13 @@
 CONNECT_SECONDS = 0.2
 
 
-def partitioned_play():
+def partitioned_harness():
     """Return a ``PolicyHarness``; fd1 was just partitioned from fd0."""
-    play = shared_policy_harness.PolicyHarness(count=6)
-    play.view.heard = {"fd1": 0.0, "fd2": 0.0}
-    play.now = 10.0
-    play.view.heard["fd2"] = 10.0
-    return play
+    harness = shared_policy_harness.PolicyHarness(count=6)
+    harness.view.heard = {"fd1": 0.0, "fd2": 0.0}
+    harness.now = 10.0
+    harness.view.heard["fd2"] = 10.0
+    return harness
 
 
 def heard_at(when):
@@ -32,14 +32,14 @@
     return view
 
 
-def domain_of(play, name):
-    for server in play.directory.servers:
+def domain_of(harness, name):
+    for server in harness.directory.servers:
         if server.announcement.backend_server == name:
             return server.announcement.failure_domain
     raise KeyError(name)
 
 
-def count_failed_attempts(play, calls):
+def count_failed_attempts(harness, calls):
     """Run ``calls`` requests in sequence; return the failed attempts.
 
     A connection to fd1 takes ``CONNECT_SECONDS`` to fail; answers from
@@ -47,25 +47,25 @@
     """
     failed = 0
     for prefix_id in range(calls):
-        work = play.review(prefix_id)
+        work = harness.review(prefix_id)
         while True:
-            name = play.next()[work.request_id]
-            if domain_of(play, name) != "fd1":
+            name = harness.next()[work.request_id]
+            if domain_of(harness, name) != "fd1":
                 break
             failed += 1
-            play.now += CONNECT_SECONDS
-            play.view.heard["fd2"] = play.now
+            harness.now += CONNECT_SECONDS
+            harness.view.heard["fd2"] = harness.now
             ended = work_module.AttemptEnd(
                 work.request_id, name, unreachable=True
             )
-            play.policy.ended(ended, play.now)
+            harness.policy.ended(ended, harness.now)
             work.excluded_servers.add(name)
-            play.policy.requeue(work, play.now)
-        play.policy.first_output(work.request_id, play.now)
-        play.policy.ended(
-            work_module.AttemptEnd(work.request_id, name), play.now
+            harness.policy.requeue(work, harness.now)
+        harness.policy.first_output(work.request_id, harness.now)
+        harness.policy.ended(
+            work_module.AttemptEnd(work.request_id, name), harness.now
         )
-        play.now += 0.05
+        harness.now += 0.05
     return failed
 
 
@@ -74,25 +74,25 @@
     # look best, and each request sent there waits for a connection that is
     # never established.  When each engine was detected and probed by itself,
     # 10 of 100 requests waited half a second each in these 5 s.
-    play = partitioned_play()
-    assert count_failed_attempts(play, 100) <= 3
-    texts = [item.text for item in play.policy.take_beliefs()]
+    harness = partitioned_harness()
+    assert count_failed_attempts(harness, 100) <= 3
+    texts = [item.text for item in harness.policy.take_beliefs()]
     assert "failure domain avoided" in texts
 
 
 def test_a_domain_is_used_again_as_soon_as_it_is_heard():
     # The partition heals while a domain is avoided.  Its engines must not
     # stay idle for seconds while the others have twice their usual load.
-    play = partitioned_play()
-    count_failed_attempts(play, 10)
-    play.view.heard["fd1"] = play.now
-    play.now += server_health.MAX_BACKOFF_SECONDS
+    harness = partitioned_harness()
+    count_failed_attempts(harness, 10)
+    harness.view.heard["fd1"] = harness.now
+    harness.now += server_health.MAX_BACKOFF_SECONDS
     names = set()
     for prefix_id in range(100, 112):
-        work = play.review(prefix_id)
-        names.add(play.next()[work.request_id])
-        play.policy.first_output(work.request_id, play.now)
-    assert {domain_of(play, name) for name in names} >= {"fd1"}
+        work = harness.review(prefix_id)
+        names.add(harness.next()[work.request_id])
+        harness.policy.first_output(work.request_id, harness.now)
+    assert {domain_of(harness, name) for name in names} >= {"fd1"}
 
 
 def test_a_crashed_server_does_not_make_its_domain_suspect():
@@ -129,19 +129,19 @@
     # All engines of the own domain are gone; the only others are in a domain
     # that seems partitioned.  An attempt may serve the caller, a refusal
     # cannot.
-    play = partitioned_play()
-    play.directory.servers = [
+    harness = partitioned_harness()
+    harness.directory.servers = [
         server
-        for server in play.directory.servers
+        for server in harness.directory.servers
         if server.announcement.failure_domain == "fd1"
     ]
-    work = play.chat()
-    name = play.next()[work.request_id]
+    work = harness.chat()
+    name = harness.next()[work.request_id]
     ended = work_module.AttemptEnd(work.request_id, name, unreachable=True)
-    play.now += CONNECT_SECONDS
-    play.policy.ended(ended, play.now)
-    again = play.chat()
-    assert domain_of(play, play.next()[again.request_id]) == "fd1"
+    harness.now += CONNECT_SECONDS
+    harness.policy.ended(ended, harness.now)
+    again = harness.chat()
+    assert domain_of(harness, harness.next()[again.request_id]) == "fd1"
 
 
 def test_one_request_at_a_time_probes_an_unreachable_server():
--- a/tests/cover/test_heartbeats.py
+++ b/tests/cover/test_heartbeats.py
@@ -201,34 +201,34 @@
     # If the policy kept its load and its cached prompt parts, the idle engine
     # would get no requests, and later requests whose prompts it must read
     # from the beginning.
-    play = shared_policy_harness.PolicyHarness(count=1)
-    (server,) = play.directory.servers
+    harness = shared_policy_harness.PolicyHarness(count=1)
+    (server,) = harness.directory.servers
     name = server.announcement.backend_server
     server.announcement = msgspec.structs.replace(
         server.announcement, epoch=1000
     )
-    play.policy.observe(server, play.now)
-    first = play.review(0)
-    assert play.next()[first.request_id] == name
-    play.loads.replace_report(
-        "other", "fd1", [server_loads.Load(name, 20, 40_000)], play.now
+    harness.policy.observe(server, harness.now)
+    first = harness.review(0)
+    assert harness.next()[first.request_id] == name
+    harness.loads.replace_report(
+        "other", "fd1", [server_loads.Load(name, 20, 40_000)], harness.now
     )
-    assert play.policy.own_loads()
+    assert harness.policy.own_loads()
     server.announcement = msgspec.structs.replace(
         server.announcement, epoch=2000, sequence=1
     )
-    play.policy.observe(server, play.now)
-    assert not play.policy.own_loads()
-    assert play.loads.unread(name) == 0
-    assert [item.text for item in play.policy.take_beliefs()] == [
+    harness.policy.observe(server, harness.now)
+    assert not harness.policy.own_loads()
+    assert harness.loads.unread(name) == 0
+    assert [item.text for item in harness.policy.take_beliefs()] == [
         "backend server restarted"
     ]
     # The end of an earlier attempt does not reduce the new incarnation's load.
     ended = work_module.AttemptEnd(first.request_id, name, failed=True)
-    play.policy.ended(ended, play.now)
-    work = play.review(0)
-    assert play.next()[work.request_id] == name
-    (load,) = play.policy.own_loads()
+    harness.policy.ended(ended, harness.now)
+    work = harness.review(0)
+    assert harness.next()[work.request_id] == name
+    (load,) = harness.policy.own_loads()
     assert load.running == 1
     # The shared part counts as unread again: the cache was lost.
     assert load.unread == 16_000
--- a/tests/cover/test_shared_policy.py
+++ b/tests/cover/test_shared_policy.py
@@ -18,16 +18,16 @@
 
 
 def test_requests_with_one_shared_prefix_go_to_one_engine():
-    play = shared_policy_harness.PolicyHarness()
+    harness = shared_policy_harness.PolicyHarness()
     chosen = set()
     for number in range(8):
-        work = play.review(1)
-        chosen.add(play.next()[work.request_id])
-        play.policy.first_output(work.request_id, play.now)
-        play.policy.ended(
-            work_module.AttemptEnd(work.request_id, ""), play.now
+        work = harness.review(1)
+        chosen.add(harness.next()[work.request_id])
+        harness.policy.first_output(work.request_id, harness.now)
+        harness.policy.ended(
+            work_module.AttemptEnd(work.request_id, ""), harness.now
         )
-        play.now += 0.5
+        harness.now += 0.5
     assert len(chosen) == 1
 
 
@@ -43,14 +43,15 @@
 
 
 def test_prefixes_sent_by_other_instances_count_as_cached():
-    play = shared_policy_harness.PolicyHarness()
+    harness = shared_policy_harness.PolicyHarness()
     names = [
-        server.announcement.backend_server for server in play.directory.servers
+        server.announcement.backend_server
+        for server in harness.directory.servers
     ]
     groups = affinity.EngineGroups()
     groups.set_engines("llm", sorted(names))
     last = groups.ranked("t7", False)[-1]
-    play.policy.heard_reads(
+    harness.policy.heard_reads(
         [
             server_loads.Read(
                 last, [("t7", shared_policy_harness.PREFIX_TOKENS)]
@@ -58,17 +59,17 @@
         ],
         0.0,
     )
-    work = play.review(7)
-    assert play.next()[work.request_id] == last
+    work = harness.review(7)
+    assert harness.next()[work.request_id] == last
 
 
 def test_use_of_a_known_prefix_is_not_announced_again_at_once():
     # Ninety instances use one prefix within seconds.  When each announced
     # each use to all others, that took half of a 5 Mbit/s link.
-    play = shared_policy_harness.PolicyHarness()
-    play.review(7)
-    play.next()
-    (read,) = play.policy.take_reads()
+    harness = shared_policy_harness.PolicyHarness()
+    harness.review(7)
+    harness.next()
+    (read,) = harness.policy.take_reads()
     other = shared_policy_harness.PolicyHarness()
     other.policy.heard_reads([read], 0.0)
     other.review(7)
@@ -86,12 +87,12 @@
     # Forty long prompts come within a second.  If they were placed at once,
     # each engine would make one token in the time of fifteen until all are
     # prefilled, and streams that began before would exceed their deadlines.
-    play = shared_policy_harness.PolicyHarness()
+    harness = shared_policy_harness.PolicyHarness()
     for prefix_id in range(40):
-        play.review(prefix_id)
-    placed = play.next()
+        harness.review(prefix_id)
+    placed = harness.next()
     unread = {}
-    for load in play.policy.own_loads():
+    for load in harness.policy.own_loads():
         unread[load.server] = load.unread
     assert 4 <= len(placed) <= 12
     assert (
@@ -102,58 +103,60 @@
 
 
 def test_while_a_large_prompt_waits_smaller_ones_wait_too():
-    play = shared_policy_harness.PolicyHarness(count=2)
+    harness = shared_policy_harness.PolicyHarness(count=2)
     busy = [server_loads.Load(f"e{n}", 2, 3_000) for n in range(2)]
-    play.loads.replace_report("other", "fd1", busy, 0.0)
-    large = play.review(1, own=30_000)
-    small = play.review(1, own=4_000)
-    assert play.next() == {}
-    play.loads.replace_report("other", "fd1", [], 0.1)
-    placed = play.next()
+    harness.loads.replace_report("other", "fd1", busy, 0.0)
+    large = harness.review(1, own=30_000)
+    small = harness.review(1, own=4_000)
+    assert harness.next() == {}
+    harness.loads.replace_report("other", "fd1", [], 0.1)
+    placed = harness.next()
     assert large.request_id in placed
     assert small.request_id not in placed
 
 
 def test_without_a_large_prompt_smaller_ones_fill_an_engine():
-    play = shared_policy_harness.PolicyHarness(count=2)
+    harness = shared_policy_harness.PolicyHarness(count=2)
     busy = [server_loads.Load(f"e{n}", 2, 1_500) for n in range(2)]
-    play.loads.replace_report("other", "fd1", busy, 0.0)
-    chat = play.ask((("own", 4_000),))
-    assert chat.request_id in play.next()
+    harness.loads.replace_report("other", "fd1", busy, 0.0)
+    chat = harness.ask((("own", 4_000),))
+    assert chat.request_id in harness.next()
 
 
 def test_work_of_other_instances_counts():
-    play = shared_policy_harness.PolicyHarness(count=2)
+    harness = shared_policy_harness.PolicyHarness(count=2)
     busy = [server_loads.Load(f"e{n}", 9, 50_000) for n in range(2)]
-    play.loads.replace_report("other", "fd1", busy, 0.0)
-    work = play.review(1)
-    assert play.next() == {}
-    play.loads.replace_report("other", "fd1", [], 0.1)
-    assert work.request_id in play.next()
+    harness.loads.replace_report("other", "fd1", busy, 0.0)
+    work = harness.review(1)
+    assert harness.next() == {}
+    harness.loads.replace_report("other", "fd1", [], 0.1)
+    assert work.request_id in harness.next()
 
 
 def test_an_engine_that_has_prefilled_gets_the_next_prompt():
-    play = shared_policy_harness.PolicyHarness(count=2)
-    works = [play.review(1) for _ in range(9)]
-    placed = play.next()
+    harness = shared_policy_harness.PolicyHarness(count=2)
+    works = [harness.review(1) for _ in range(9)]
+    placed = harness.next()
     assert len(placed) < 9
     for request_id in placed:
-        play.policy.first_output(request_id, play.now)
-    assert play.next()
+        harness.policy.first_output(request_id, harness.now)
+    assert harness.next()
     assert len(works) == 9
 
 
 def test_urgent_work_goes_first_and_late_work_last():
-    play = shared_policy_harness.PolicyHarness(count=2)
-    filler = [play.review(0) for _ in range(9)]
-    play.next()
-    play.now = 2.5
-    fresh = play.review(0, own=3000)
-    urgent = play.review(0, own=3000, priority=1)
-    late = [work for work in filler if work.request_id in play.policy._queue]
-    for attempt in list(play.policy._attempts):
-        play.policy.first_output(attempt, play.now)
-    order = list(play.next())
+    harness = shared_policy_harness.PolicyHarness(count=2)
+    filler = [harness.review(0) for _ in range(9)]
+    harness.next()
+    harness.now = 2.5
+    fresh = harness.review(0, own=3000)
+    urgent = harness.review(0, own=3000, priority=1)
+    late = [
+        work for work in filler if work.request_id in harness.policy._queue
+    ]
+    for attempt in list(harness.policy._attempts):
+        harness.policy.first_output(attempt, harness.now)
+    order = list(harness.next())
     assert order[0] == urgent.request_id
     if fresh.request_id in order and late:
         assert order.index(fresh.request_id) == 1
@@ -162,30 +165,30 @@
 def test_low_latency_streams_avoid_engines_with_long_prompts():
     # A chat whose gaps must stay below 0.3 s would share an engine with a
     # prompt of 16,000 tokens, which takes that long to prefill.
-    play = shared_policy_harness.PolicyHarness(count=9)
+    harness = shared_policy_harness.PolicyHarness(count=9)
     reviews = set()
     for prefix_id in range(6):
-        work = play.review(prefix_id)
-        placed = play.next()
+        work = harness.review(prefix_id)
+        placed = harness.next()
         while work.request_id not in placed:
             # Its candidate engines finish the prompts that they have.
-            for attempt in list(play.policy._attempts):
-                play.policy.first_output(attempt, play.now)
-            placed = play.next()
+            for attempt in list(harness.policy._attempts):
+                harness.policy.first_output(attempt, harness.now)
+            placed = harness.next()
         reviews.add(placed[work.request_id])
     chats = set()
     for _ in range(6):
-        work = play.chat()
-        chats.add(play.next()[work.request_id])
+        work = harness.chat()
+        chats.add(harness.next()[work.request_id])
     assert not chats & reviews
 
 
 def test_low_latency_streams_overflow_to_the_other_engines():
-    play = shared_policy_harness.PolicyHarness(count=6)
+    harness = shared_policy_harness.PolicyHarness(count=6)
     chats = set()
     for _ in range(300):
-        work = play.chat()
-        chats.add(play.next()[work.request_id])
+        work = harness.chat()
+        chats.add(harness.next()[work.request_id])
     assert len(chats) > 1
 
 
@@ -195,13 +198,13 @@
     # have half of theirs free.  Without a cost for that wait, 98 requests
     # went there before one went elsewhere, and half of the first tokens were
     # late.
-    play = shared_policy_harness.PolicyHarness(count=5)
+    harness = shared_policy_harness.PolicyHarness(count=5)
     places = collections.Counter()
     for _ in range(110):
-        work = play.chat()
-        name = play.next()[work.request_id]
+        work = harness.chat()
+        name = harness.next()[work.request_id]
         places[name] += 1
-        play.policy.first_output(work.request_id, play.now)
+        harness.policy.first_output(work.request_id, harness.now)
     assert max(places.values()) <= 64 + 2
     assert len(places) > 1
 
@@ -211,7 +214,7 @@
     # another domain, from which a partition may cut it off.  When the
     # rendezvous order alone decided, two in three prompts went to another
     # domain.
-    play = shared_policy_harness.PolicyHarness(count=6)
+    harness = shared_policy_harness.PolicyHarness(count=6)
     own = 0
     choices = 0
     for prefix_id in range(200):
@@ -225,12 +228,12 @@
         if 0 not in domains or len(domains) < 2:
             continue
         choices += 1
-        work = play.review(prefix_id)
-        name = play.next()[work.request_id]
+        work = harness.review(prefix_id)
+        name = harness.next()[work.request_id]
         own += int(name[1:]) % 3 == 0
-        play.policy.first_output(work.request_id, play.now)
-        play.policy.ended(
-            work_module.AttemptEnd(work.request_id, name), play.now
+        harness.policy.first_output(work.request_id, harness.now)
+        harness.policy.ended(
+            work_module.AttemptEnd(work.request_id, name), harness.now
         )
     assert choices > 20
     assert own == choices
@@ -239,16 +242,16 @@
 def test_a_queue_that_is_too_long_refuses_with_a_retry_after():
     # A burst exceeds what the engines can prefill.  The last in the queue are
     # refused at once with a Retry-After, and not only at their deadline.
-    play = shared_policy_harness.PolicyHarness(count=2)
+    harness = shared_policy_harness.PolicyHarness(count=2)
     refused = {}
     for step in range(60):
-        play.now = step * 0.1
-        play.review(step, deadline=4.0)
-        play.review(step + 100, deadline=4.0)
-        for request_id, decision in play.next().items():
+        harness.now = step * 0.1
+        harness.review(step, deadline=4.0)
+        harness.review(step + 100, deadline=4.0)
+        for request_id, decision in harness.next().items():
             if isinstance(decision, str):
                 if step % 3 == 0:
-                    play.policy.first_output(request_id, play.now)
+                    harness.policy.first_output(request_id, harness.now)
             else:
                 refused[request_id] = decision
     assert refused
@@ -261,53 +264,55 @@
 
 
 def test_an_unreachable_server_is_avoided_for_a_while():
-    play = shared_policy_harness.PolicyHarness(count=2)
-    work = play.review(1)
-    server = play.next()[work.request_id]
+    harness = shared_policy_harness.PolicyHarness(count=2)
+    work = harness.review(1)
+    server = harness.next()[work.request_id]
     ended = work_module.AttemptEnd(
         work.request_id, server, failed=True, unreachable=True
     )
-    play.policy.ended(ended, play.now)
-    again = play.review(1)
-    assert play.next()[again.request_id] != server
-    play.now += 5.0
+    harness.policy.ended(ended, harness.now)
+    again = harness.review(1)
+    assert harness.next()[again.request_id] != server
+    harness.now += 5.0
     for request_id in (again.request_id,):
-        play.policy.ended(work_module.AttemptEnd(request_id, ""), play.now)
-    later = play.review(1)
-    assert later.request_id in play.next()
+        harness.policy.ended(
+            work_module.AttemptEnd(request_id, ""), harness.now
+        )
+    later = harness.review(1)
+    assert later.request_id in harness.next()
 
 
 def test_without_a_usable_server_work_is_refused_soon():
-    play = shared_policy_harness.PolicyHarness(count=1)
-    work = play.review(1)
-    server = play.next()[work.request_id]
-    play.policy.ended(
+    harness = shared_policy_harness.PolicyHarness(count=1)
+    work = harness.review(1)
+    server = harness.next()[work.request_id]
+    harness.policy.ended(
         work_module.AttemptEnd(
             work.request_id, server, failed=True, unreachable=True
         ),
-        play.now,
+        harness.now,
     )
-    waiting = play.review(2)
-    assert play.next() == {}
-    play.now += shared_policy.NO_SERVER_WAIT_SECONDS + 0.01
-    assert waiting.request_id in play.next()
+    waiting = harness.review(2)
+    assert harness.next() == {}
+    harness.now += shared_policy.NO_SERVER_WAIT_SECONDS + 0.01
+    assert waiting.request_id in harness.next()
 
 
 def test_of_two_servers_at_one_address_the_newer_is_used():
-    play = shared_policy_harness.PolicyHarness(count=2)
-    old, new = play.directory.servers
+    harness = shared_policy_harness.PolicyHarness(count=2)
+    old, new = harness.directory.servers
     new.announcement.url = old.announcement.url
     new.heard_at = 5.0
     for number in range(5):
-        work = play.review(number)
-        assert play.next()[work.request_id] == "e1"
-        play.policy.first_output(work.request_id, play.now)
+        work = harness.review(number)
+        assert harness.next()[work.request_id] == "e1"
+        harness.policy.first_output(work.request_id, harness.now)
 
 
 def test_retries_stay_within_the_budget():
-    play = shared_policy_harness.PolicyHarness(slack=58.0)
-    works = [play.review(n) for n in range(50)]
-    allowed = [bool(play.policy.retry(work, play.now)) for work in works]
+    harness = shared_policy_harness.PolicyHarness(slack=58.0)
+    works = [harness.review(n) for n in range(50)]
+    allowed = [bool(harness.policy.retry(work, harness.now)) for work in works]
     # A ninth of the slack of 58 and a fifth of the requests, of which four
     # fifths are used.
     assert sum(allowed) == int(0.8 * (0.2 * 50 + 58.0 / 9))
