--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/backend_request.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/backend_request.py
@@ -157,7 +157,8 @@
         first = self._parser.answers[0] if self._parser.answers else None
         if first is None or not first.complete:
             raise Broken(
-                "the server closed the connection in the middle of an answer",
+                "the server closed the connection before the answer"
+                " was complete",
                 closed=True,
             )
 
