--- a/packages/dandeliontrail/src/dandeliontrail/components/attainment.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/attainment.py
@@ -35,7 +35,7 @@
 
 
 def _met_targets(targets, request, now):
-    """Tell whether the targets were met, counted from the dispatch.
+    """Return whether the targets were met, counted from the dispatch.
 
     Time in the queue does not depend on the model version.
     """
--- a/packages/dandeliontrail/src/dandeliontrail/components/claim_voting.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/claim_voting.py
@@ -51,7 +51,7 @@
         return out
 
     def ready(self, now):
-        """Tell whether this instance is a voter that has recovered."""
+        """Return whether this instance is a voter that has recovered."""
         table = self._table_at(now)
         return table is not None and table.ready(now)
 
--- a/packages/dandeliontrail/src/dandeliontrail/components/intake.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/intake.py
@@ -70,7 +70,7 @@
 
 
 def has_state(state):
-    """Tell whether this instance has the state to handle routed requests."""
+    """Return whether this instance has the state to handle routed requests."""
     return state.log.ready and state.routing.table is not None
 
 
--- a/packages/dandeliontrail/src/dandeliontrail/components/request_lifecycle.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/request_lifecycle.py
@@ -147,7 +147,7 @@
         self.phase = phase
 
     def has_attempt(self, number):
-        """Tell whether ``number`` is the current attempt or the hedge."""
+        """Return whether ``number`` is the current attempt or the hedge."""
         if self.hedge is not None and self.hedge.number == number:
             return True
         return self.attempt == number
--- a/packages/dandeliontrail/src/dandeliontrail/components/server_orders.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/server_orders.py
@@ -15,7 +15,7 @@
 # The number of serving servers is taken as needed once it has been stable for
 # this long.  Servers announce themselves about once per second.
 STABLE_SECONDS = 2.0
-# This long after its start, an instance has heard of all existing servers.
+# This long after its start, an instance knows all existing servers.
 DISCOVERY_SECONDS = 4.0
 # An order whose servers do not appear is repeated this long after the end of
 # the time that they take to boot.
@@ -112,7 +112,7 @@
         bound of those needed.  Spot servers are ordered for them at once,
         since every second until they have started is paid for at the full
         price.  Regular servers are given up only once the count is stable
-        and this instance has heard of all servers.
+        and this instance knows all servers.
         """
         settled = self._is_stable(regular, serving.regular, now)
         ordered = self._ordered.last(regular) is not None
--- a/packages/dandeliontrail/src/dandeliontrail/components/usage.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/usage.py
@@ -143,7 +143,7 @@
         return out
 
     def _send_summary(self):
-        """Send one random link a summary of all rows held here.
+        """Send one random link a summary of all rows stored here.
 
         This transfers rows that were lost, and those of instances to which
         this one has no link.  Relays receive the rows of the other domains
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/claim_entries.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/claim_entries.py
@@ -58,7 +58,7 @@
     """The claims of this instance, limited in number, age and bytes.
 
     At the byte limit the oldest answers are evicted, but their keys are
-    kept: a retry is then told that its answer is gone, and never runs again.
+    kept: a retry is then refused because its answer is gone, and never runs.
     """
 
     def __init__(self):
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/importance.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/importance.py
@@ -37,7 +37,8 @@
 def of(message):
     """Return the importance of a message.
 
-    A message of a type that is not listed here is never held back.
+    A message of a type that is not listed here is sent even if the byte
+    budget is exhausted.
     """
     if isinstance(message, _REPAIRED_BY_ANTI_ENTROPY):
         return Importance.REPAIRED
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/ledger.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/ledger.py
@@ -3,7 +3,7 @@
 Every instance counts into its own rows and holds copies of the rows of all
 others.  Rows belong to a publisher, which is one incarnation of an instance
 and so new with each start.  A publisher numbers its changes, so a single
-number says how much of it a replica holds: this is the version vector of
+number states how much of it a replica holds: this is the version vector of
 Scuttlebutt and Dynamo (see the notes "scalable secure scuttlebutt",
 append-only gossip).  A merge takes the maximum of each count, which is
 commutative, associative and idempotent: duplicated and reordered messages
@@ -36,7 +36,7 @@
     """Totals by organisation, class and day, merged over all instances.
 
     ``day`` is the current UTC date, set by the caller.  ``late`` counts the
-    adopted checkpoints that lacked rows which this instance held.
+    adopted checkpoints that lacked rows which this instance had.
     ``finished`` has the publishers that count no more and can be folded.
     """
 
@@ -113,7 +113,7 @@
         return self._publishers[self.own].version
 
     def held_version(self, publisher):
-        """Return the version up to which a publisher is held without gaps."""
+        """Return the version up to which a publisher's rows are complete."""
         replica = self._publishers.get(publisher)
         return replica.version if replica else 0
 
@@ -164,7 +164,7 @@
         return usage.UsageRows(publisher, since, replica.version, rows)
 
     def merge(self, message):
-        """Merge rows; return whether the publisher is held without gaps."""
+        """Merge rows; return whether the publisher's rows have no gaps."""
         publisher = message.publisher
         if publisher == self.own or self._is_folded(publisher):
             return True
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/member_records.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/member_records.py
@@ -108,7 +108,7 @@
 
 
 class Change(enum.Enum):
-    """The kinds of member changes that other components are told of."""
+    """The kinds of member changes that are reported to other components."""
 
     JOINED = "joined"
     RESTARTED = "restarted"
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/membership.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/membership.py
@@ -440,8 +440,8 @@
         """Return whether more than half of all instances are reachable.
 
         Every known instance that has not left counts, including this one.
-        An instance that hears nobody has no majority, whatever its table
-        says.
+        An instance that hears from no other one has no majority, whatever
+        its table contains.
         """
         counted = [
             item
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_core.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/quorum_log_core.py
@@ -4,7 +4,7 @@
 appending :class:`Send`, :class:`Write`, :class:`Rewrite` and
 :class:`Applied` items to ``out``, and :meth:`Core.synced` tells it when a
 write is on the disk.  A message that promises something which must survive
-a crash (a vote, an acknowledgement) is held back until then.
+a crash (a vote, an acknowledgement) is not sent until then.
 """
 
 import collections
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/server_ends.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/server_ends.py
@@ -121,7 +121,7 @@
 
 
 def retention_seconds(end_count):
-    """Return the retention of a record with so many ends, in seconds."""
+    """Return the retention of a record with ``end_count`` ends, in seconds."""
     return (
         SEVERAL_ENDS_RETENTION_SECONDS
         if end_count > 1
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/usage.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/usage.py
@@ -97,7 +97,7 @@
 
 
 class PublisherVersion(msgspec.Struct, array_like=True):
-    """The version up to which a publisher is held without gaps."""
+    """The version up to which a publisher's rows are complete."""
 
     publisher: Publisher
     version: int
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/concurrency.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/concurrency.py
@@ -19,7 +19,7 @@
     if target is None:
         return
     if gap_ms > target:
-        # Only a batch near the limit says something about the limit.
+        # Only a batch near the limit is evidence about the limit.
         if engine.total() >= engine.limit * 0.7:
             engine.limit = max(MIN_LIMIT, engine.limit * DECREASE_FACTOR)
     else:
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/crash_suspects.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/crash_suspects.py
@@ -11,7 +11,8 @@
   server crashes on a request as it begins it, so a stream that has been open
   for a while is not the cause.
 - A request that any server has completed is cleared.
-- A server that is heard of later has not crashed: its connection was reset.
+- A server that is known to be alive later has not crashed: its connection was
+  reset.
 - A crash that is attributed to another request, one with more crashes, does
   not count, unless there are :data:`CRASHES_TO_BLOCK_ANYWAY`: more than an
   innocent request that is resent once meets.
@@ -70,7 +71,7 @@
 
 
 def _is_alive(registry, incarnation, at, now):
-    """Return whether a server was heard of since its presumed crash."""
+    """Return whether a server was alive after its presumed crash."""
     name, epoch = incarnation
     server = registry.servers.get(name)
     return (
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/directory.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/directory.py
@@ -11,7 +11,7 @@
 
 
 def pool_has(select, announcement):
-    """Tell whether an announcement matches every given selector field."""
+    """Return whether an announcement matches every given selector field."""
     if select.kind and select.kind != announcement.kind:
         return False
     if select.service and select.service != announcement.service:
@@ -31,7 +31,7 @@
 
 
 def has_model(announcement, name):
-    """Tell whether a server has the model, or an adapter, loaded."""
+    """Return whether a server has the model, or an adapter, loaded."""
     return any(
         name == model.name or name in model.adapters
         for model in announcement.models
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/engine_choice.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/engine_choice.py
@@ -1,4 +1,4 @@
-"""Chooses a model engine for a request and tells whether it has room.
+"""Chooses a model engine for a request and checks whether it has room.
 
 A model engine prefills prompts in between the decoding steps of its streams.
 An engine that always has a prompt to prefill makes one token in the time of
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/fleet.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/fleet.py
@@ -76,7 +76,7 @@
         self._count_free(engine)
 
     def open_to_unprotected(self, now):
-        """Tell whether unprotected work may start now."""
+        """Return whether unprotected work may start now."""
         if self.free <= self.reserved:
             return False
         if not self._options.ramp:
@@ -89,7 +89,7 @@
 
     def _count_free(self, engine):
         # The slots of a drained server do not count as free; otherwise the
-        # reserve would be held on servers where protected work cannot run.
+        # reserve would be kept on servers where protected work cannot run.
         usable = 0 if engine.slow else engine.allowed
         free = max(0, usable - engine.own)
         self.free += free - engine.free
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/model_orders.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/model_orders.py
@@ -131,7 +131,7 @@
 
 
 def holds(announcement, model, version, adapter=""):
-    """Tell whether an engine reports a model (and an adapter) loaded."""
+    """Return whether an engine reports a model (and an adapter) loaded."""
     return any(
         item.name == model
         and (not version or item.version == version)
@@ -141,7 +141,7 @@
 
 
 def safe_to_unload(order, view, planned=()):
-    """Tell whether another engine still serves the model after ``order``.
+    """Return whether another engine still serves the model after ``order``.
 
     Copies that are being unloaded, or are about to be (``planned``), do not
     count even while they are still reported. Otherwise two placements of one
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/placing.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/placing.py
@@ -29,7 +29,7 @@
 INSTANCES_PER_SERVER = 6
 # Protected requests may exceed an engine's slots by this many: the engine's
 # own queue honours priority and gives the request the next slot sooner than
-# this instance would hear of a free one.
+# this instance would learn of a free one.
 MAX_OVERCOMMIT_SLOTS = 2
 # A slow server gets work that can wait this many service times, multiplied by
 # how much slower the server is.
@@ -207,7 +207,7 @@
         return requirements.open and engine.own < engine.allowed
 
     def _may_use_slow(self, requirements, engine, now):
-        """Tell whether work may go to a slow server.
+        """Return whether work may go to a slow server.
 
         Backlog work may if its target leaves plenty of time, since a slow
         server still has some throughput. All other work is limited to one
@@ -234,7 +234,7 @@
 
 
 def failed_everywhere(work, servers):
-    """Tell whether every server has failed this work already.
+    """Return whether every server has failed this work already.
 
     Such work is refused at once instead of near its deadline.
     """
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/ramp.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/ramp.py
@@ -39,5 +39,5 @@
         self.ceiling = min(risen, own + max(1.0, slots * MAX_OPEN_SHARE))
 
     def admits(self, own):
-        """Tell whether one more request may start."""
+        """Return whether one more request may start."""
         return own < self.ceiling
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/refusal.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/refusal.py
@@ -101,7 +101,7 @@
 
 
 def cannot_meet_target(work, service_seconds, now):
-    """Tell whether queued sheddable work can no longer meet its target."""
+    """Return whether queued sheddable work can no longer meet its target."""
     return work.sheddable and now > latest_start(work, service_seconds)
 
 
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/reserve.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/reserve.py
@@ -134,5 +134,5 @@
 
 
 def is_protected(work):
-    """Tell whether work is protected, so that it has to start promptly."""
+    """Return whether work is protected, so that it has to start promptly."""
     return work.first_token_ms is not None and not work.sheddable
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/retries.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/retries.py
@@ -40,7 +40,7 @@
         self.budget = min(MAX_BUDGET, self.budget + RETRIES_PER_REQUEST)
 
     def allow(self, work, free):
-        """Tell whether ``work`` may be retried.
+        """Return whether ``work`` may be retried.
 
         ``free`` tells whether some server has a free slot.
         """
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/service_traits.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/service_traits.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-# The KV cache of an engine, in tokens, if the configuration does not say.
+# The KV cache of an engine, in tokens, if the configuration has no value.
 DEFAULT_KV_TOKENS = 500_000
 # Engines honour ten priorities.  Each priority of an organisation takes this
 # many of them, which the priorities of its routes divide further.
@@ -22,7 +22,7 @@
 
 
 def step_of(priority):
-    """Return the priority step of a route as engines are told it.
+    """Return the priority step of a route, as it is sent to engines.
 
     It is below :data:`ROUTE_PRIORITIES`; 0 is the most urgent.
     """
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/shared.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/shared.py
@@ -239,7 +239,7 @@
                 self._searches.end(work.request_id)
                 decisions.append(decision)
             elif decision is not None:
-                # A hedge is never refused: the search goes on, and may now use
+                # A hedge is never refused: the search continues and may use
                 # the servers that turned the work away before.
                 work.ask_again()
         return decisions
@@ -320,7 +320,7 @@
     def _usable_servers(self, work, servers, now):
         """Return the servers that may take the work, by name.
 
-        Of several servers at one address only the one heard of last counts:
+        Of several servers at one address only the most recent one counts:
         a server that restarts at the same address has a new name.
         """
         newest = {}
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/shares.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/shares.py
@@ -44,7 +44,7 @@
         self._total += tokens
 
     def below(self, class_name, minimum):
-        """Tell whether a class has less than its minimum share."""
+        """Return whether a class has less than its minimum share."""
         if minimum <= 0.0 or self._total <= 0.0:
             return False
         return self._tokens.get(class_name, 0.0) < minimum * self._total
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/view.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/view.py
@@ -32,7 +32,7 @@
         return None
 
     def has_fallen_silent(self, failure_domain, now):
-        """Tell whether a domain's instances have just fallen silent."""
+        """Return whether a domain's instances have just fallen silent."""
         return False
 
     def usage_elsewhere(self, organisation, class_name):
--- a/packages/dandeliontrail/src/dandeliontrail/effects/requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/effects/requests.py
@@ -10,8 +10,8 @@
 class Dispatch(msgspec.Struct):
     """Send the request to a backend server, as attempt ``attempt``.
 
-    ``patience`` has the silence timeouts: an attempt that sends nothing for
-    that long counts as silent.  An attempt started beside a silent one is a
+    ``patience`` has the silence timeouts: an attempt that sends nothing
+    within them counts as silent.  An attempt started beside a silent one is a
     hedge; the first of the two to send anything gets the request.
     """
 
@@ -62,7 +62,7 @@
 
 
 class Withdraw(msgspec.Struct):
-    """Abort the hedge ``attempt``; the silent attempt goes on."""
+    """Abort the hedge ``attempt``; the silent attempt continues."""
 
     request_id: str
     attempt: int
--- a/packages/dandeliontrail/src/dandeliontrail/events/requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/events/requests.py
@@ -85,7 +85,7 @@
 class AttemptSilent(msgspec.Struct):
     """The attempt sent nothing within its silence timeout.
 
-    The attempt goes on; a hedged request to another server may be started.
+    The attempt continues; a hedged request to another server may be started.
     """
 
     request_id: str
--- a/packages/dandeliontrail/src/dandeliontrail/reducer.py
+++ b/packages/dandeliontrail/src/dandeliontrail/reducer.py
@@ -114,8 +114,8 @@
     (``quorum_log_records.Keeper``), on an instance that has one, and
     ``bootstrap`` the names of the first keepers, which also grant claims on
     idempotency keys; without either, the instance keeps a log of its own in
-    memory.  ``keeps_usage`` tells that usage is stored on disk, and
-    ``log_options`` are further options of the log.  ``routing_options`` say
+    memory.  ``keeps_usage`` is true if usage is stored on disk, and
+    ``log_options`` are further options of the log.  ``routing_options`` set
     how recent state must be to be acted on, ``longest_lease`` how long (in
     seconds) a silent backend server counts as alive, and ``duty_options`` what
     the platform requires of the instance that calls it.
--- a/packages/dandeliontrail/src/dandeliontrail/resources/changes.py
+++ b/packages/dandeliontrail/src/dandeliontrail/resources/changes.py
@@ -56,7 +56,7 @@
 
     ``version`` is the log position of an accepted change; for a conflict it
     is the current version of the object.  ``field`` names the invalid field,
-    and ``remedy`` says how to correct the change.
+    and ``remedy`` describes how to correct the change.
     """
 
     kind: ResultKind
