--- a/packages/dandeliontrail-node/src/dandeliontrail_node/drain.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/drain.py
@@ -4,7 +4,7 @@
 served until the platform's load balancer has noticed; after that they are
 refused as not run.  Accepted requests, queued or streaming, are finished and
 none is interrupted before the maximum duration of a drain.  Then each caller
-that still waits is told the actual outcome of its request.
+that still waits receives the actual outcome of its request.
 """
 
 import gevent
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/duty_client.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/duty_client.py
@@ -64,8 +64,8 @@
         except leased_call.MayNotCall:
             return DutyAnswer.NOT_SENT, "lease"
         except (Exception, gevent.Timeout) as exc:
-            # Whatever the failure, the reducer must be told that the call
-            # has ended, since it makes the next call only then.
+            # Whatever the failure, the reducer must be notified that the
+            # call has ended, since it makes the next call only then.
             return DutyAnswer.NO_ANSWER, f"{type(exc).__name__}: {exc}"
         return _answer(status), f"{status} {text[:200].decode('latin-1')}"
 
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/engine_client.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/engine_client.py
@@ -94,7 +94,7 @@
 
     @property
     def self_delimited(self):
-        """Whether the end of the body can be told from a truncation.
+        """Whether a complete body can be distinguished from a truncated one.
 
         A body that is delimited by the close of the connection (RFC 9112,
         section 6.3) looks complete wherever it is cut.
@@ -306,7 +306,7 @@
 
 def _broken_error(exc):
     """Return the ``Broken`` for a failure of the connection."""
-    # The parser raises if a connection ends in the middle of an answer.
+    # The parser raises if a connection ends before the answer is complete.
     closed = isinstance(
         exc, (ConnectionError, geventhttpclient.response.HTTPParseError)
     )
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/attempt.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/attempt.py
@@ -120,7 +120,7 @@
             self._request.set_silence_timeout(seconds)
 
     def close(self):
-        """End the attempt; a server still working on it is told to stop."""
+        """End the attempt and cancel it at a server that still works on it."""
         request, self._request = self._request, None
         if request is not None:
             request.release()
@@ -138,8 +138,8 @@
         request.connect()
         self._request = request
         if not context.host.is_current(dispatch):
-            # The caller may have been told by now that nothing ran, so the
-            # request must not be sent.
+            # The caller may have received the outcome "not run" by now, so
+            # the request must not be sent.
             self.close()
             raise Superseded()
         life = context.host.life(incoming.request_id)
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/dialect.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/dialect.py
@@ -30,7 +30,7 @@
 
 
 class AttemptInfo(msgspec.Struct):
-    """What a server is told about an attempt, besides the caller's headers.
+    """What is sent to a server with an attempt, besides caller headers.
 
     ``remaining`` is the time until the request's deadline, in seconds.
     ``last_event_id`` is the id of the last event that the caller has, or ''.
@@ -73,4 +73,4 @@
 
     @abc.abstractmethod
     def problem_headers(self, request_id, problem):
-        """Return the headers of a ``wsgi.Problem`` told by this node."""
+        """Return the headers of a ``wsgi.Problem`` that this node returns."""
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/host.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/host.py
@@ -20,8 +20,8 @@
 # Tick interval in seconds; the reducer's timers are 0.1 s and longer.
 TICK_SECONDS = 0.1
 # An instance ticks faster until it has the replicated state: callers are
-# waiting, and each step of the start (greet, ask, fetch) takes one tick.  An
-# instance that reaches no peer returns to the normal rate after
+# waiting, and each step of the start (contact, query, fetch) takes one tick.
+# An instance that reaches no peer returns to the normal rate after
 # ``START_PHASE_SECONDS``.
 START_TICK_SECONDS = 0.025
 START_PHASE_SECONDS = 2.0
@@ -95,7 +95,7 @@
     def attach_connections(self, pool):
         """Register a connection pool.
 
-        It is told to drop its connections to servers that have gone away.
+        The host calls it to drop connections to servers that are gone.
         """
         self._pools.append(pool)
 
@@ -153,7 +153,7 @@
         """Log an exception of the reducer and count it.
 
         One event that fails must not end the instance.  If it belongs to a
-        request, the exchange is told that no answer will come.
+        request, the exchange is notified that no answer will come.
         """
         self.metrics.counters["faults_total"] += 1
         name = type(event).__name__
@@ -184,7 +184,7 @@
         return self.state.store.version > seen
 
     def _tick_forever(self):
-        """Tick periodically; the first tick, at once, greets the seeds."""
+        """Tick periodically; the first, at once, contacts the seeds."""
         fast_until = self.clock.now() + START_PHASE_SECONDS
         while True:
             self._read_clock()
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/watches.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/watches.py
@@ -50,7 +50,7 @@
 
     ``segments`` are the parts of the path after the root of the API.  Raises
     ``wsgi.Problem`` if the version to start from is malformed or no longer
-    held.
+    retained.
     """
     version = _start_version(host, environ)
     try:
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/outbox.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/outbox.py
@@ -60,7 +60,7 @@
     def take(self, within_budget):
         """Remove and return the next batch.
 
-        ``within_budget`` tells whether bytes are left in the budget.  If not,
+        ``within_budget`` is true if bytes are left in the budget.  If not,
         the batch contains only messages that are always sent, without their
         load reports; messages that can be repaired later are dropped.
         """
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/peer_link.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/peer_link.py
@@ -46,7 +46,7 @@
     """A token bucket that holds the bytes of one second.
 
     It may become negative: messages that must be sent are sent in any case,
-    and optional ones are then held back until the debt is paid off.
+    and optional ones are dropped until the balance is positive again.
     """
 
     __slots__ = ("_rate", "_left", "_filled")
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/settings.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/settings.py
@@ -87,7 +87,7 @@
     ``backend_silent_seconds`` and ``connect_seconds`` limit the silence of a
     backend server and the time for connecting to it.
     ``peer_bytes_per_second`` is the budget for messages to other instances;
-    beyond it load reports and repairs are held back.
+    beyond it load reports and repairs are dropped.
     """
 
     body_bytes: int = 8 * 1024 * 1024
