--- a/bench/log_restart.py
+++ b/bench/log_restart.py
@@ -51,7 +51,7 @@
             self._execute_effects(self.reducer.tick(self.now))
 
     def write(self, operation_id, operations):
-        """Submit one change; fails unless it is accepted."""
+        """Submit one change and assert that it is accepted."""
         change = changes.Change(operation_id, operations, "bench")
         event = events.WriteSubmitted(operation_id, change)
         answers = self._execute_effects(self.reducer.apply(event, self.now))
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/flows.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/capacity/flows.py
@@ -191,7 +191,7 @@
 
 
 def _measure_recovery(deployment, others, struck, settled):
-    """Let time pass and watch the recovery.
+    """Measure the recovery, second by second.
 
     Returns the mean and the peak of the bytes that the others sent per second,
     the bytes received per struck node, and the seconds until ``settled()``.
--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/engine.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/engine.py
@@ -47,7 +47,7 @@
 class NoDelayServer(pywsgi.WSGIServer):
     """A WSGI server that sends each event immediately, as engines do.
 
-    Without ``TCP_NODELAY`` the first event of a response is held back until
+    Without ``TCP_NODELAY`` the first event of a response is delayed until
     the client acknowledges the response headers.  On a kept-alive connection
     that takes 40 ms, which would be added to every measured time to first
     token.
--- a/tests/cover/test_bad_input.py
+++ b/tests/cover/test_bad_input.py
@@ -190,7 +190,7 @@
     # A caller requests a long answer and reads none of it.  Backpressure must
     # reach the engine, with nothing buffered in between except by the
     # sockets.  The stream must not block forever, so the caller is then
-    # disconnected and the engine told to stop.
+    # disconnected and the engine's request cancelled.
     event = b"data: " + b"x" * 65536 + b"\n\n"
     sent_bytes = [0]
 
--- a/tests/cover/test_claims.py
+++ b/tests/cover/test_claims.py
@@ -81,7 +81,7 @@
 
 def test_holder_that_restarted_leaves_the_outcome_unknown():
     # The instance that accepted the request crashes.  Nobody can know whether
-    # it ran, so a retry must neither run nor be told "not run".
+    # it ran, so a retry must neither run nor receive "not run".
     world = make_world()
     world.request("i0", "order")
     world.settle()
--- a/tests/cover/test_forwarding.py
+++ b/tests/cover/test_forwarding.py
@@ -212,7 +212,7 @@
 
 def test_a_server_stops_when_the_caller_has_left(made):
     # A caller closes its connection while the engine still processes the
-    # prompt.  Unless it is told, the engine goes on for many seconds in vain.
+    # prompt.  Without a cancellation the engine wastes many seconds on it.
     stopped = []
 
     def waits(server, sock, head):
--- a/tests/cover/test_forwarding_ends.py
+++ b/tests/cover/test_forwarding_ends.py
@@ -48,9 +48,9 @@
     made, monkeypatch
 ):
     # An instance is suspended while it drains and resumes after its grace
-    # period.  In one iteration of the event loop all requests are told that
-    # the instance ends, and a connection to a server is established.  The
-    # caller is told "not run", so the request must not be sent any more.
+    # period.  In one iteration of the event loop all requests are
+    # notified that the instance ends, and a connection to a server is
+    # established.  The caller receives "not run", so the request must not be sent any more.
     entry = made.entry()
     server = made.server(answers_500)
     made.knows(entry, server)
--- a/tests/cover/test_outcomes.py
+++ b/tests/cover/test_outcomes.py
@@ -110,7 +110,7 @@
 def test_service_call_that_must_not_be_repeated_is_sent_once():
     # A service receives an order with PUT and dies before it answers. The
     # order may have been placed: it must not be sent again, and the caller
-    # must be told that the outcome is unknown.
+    # must be informed that the outcome is unknown.
     seen = []
 
     def handle(sock, address):
--- a/tests/cover/test_server_counts.py
+++ b/tests/cover/test_server_counts.py
@@ -252,7 +252,7 @@
 
 def test_cut_changes_no_order():
     # A failure domain is cut off from the keepers for half a minute and none
-    # of its servers is heard of, while they keep serving. Nothing may be
+    # of its servers is visible to them, while all keep serving. Nothing may be
     # ordered for it on missing information.
     platform = scaled()
     platform.run(20.0)
@@ -291,9 +291,9 @@
 
 
 def test_nothing_is_given_up_by_what_an_instance_finds_as_it_starts():
-    # A keeper starts and has heard of two servers of five, which are not all
+    # A keeper starts and has discovered two servers of five, which are not all
     # that are needed. Spot servers may be ordered for those two. No regular
-    # server may be released, and once all are heard of as many serve as
+    # server may be released, and once all are known as many serve as
     # before.
     platform = scaled()
     both = platform.serving[group_of("fd1", False)] = ["s1", "s2"]
@@ -324,7 +324,7 @@
 
 
 def test_orders_only_grow_while_failure_domains_are_found():
-    # The servers of one failure domain are heard of two seconds after the
+    # The servers of one failure domain are discovered two seconds after the
     # others. If the reserve were divided among two domains at first, spot
     # servers would be ordered that had to be released once there were three.
     platform = scaled()
@@ -354,7 +354,7 @@
 
 def test_next_holder_orders_at_once_what_a_domain_lacks():
     # The holder of the duty fails as the spot servers of two failure domains
-    # are taken away. Its successor has run for as long and has heard of all
+    # are taken away. Its successor has run for as long and knows all
     # servers, so that it need not wait before it orders.
     platform = scaled()
     platform.run(20.0)
--- a/tests/cover/test_service_traits.py
+++ b/tests/cover/test_service_traits.py
@@ -33,7 +33,7 @@
 
 
 def test_priority_steps_are_those_that_engines_are_told():
-    # Routes have priorities 2 and 9, for which engines are told the same.  So
+    # Routes have priorities 2 and 9, which engines receive as the same.  So
     # the first is not prefilled sooner, and must not be placed behind seven
     # times as many tokens.
     traits = service_traits.read_traits(
--- a/tests/cover/test_silent_servers.py
+++ b/tests/cover/test_silent_servers.py
@@ -74,8 +74,8 @@
 @pytest.mark.parametrize("last", [0, 3])
 def test_a_stream_goes_on_when_its_server_falls_silent(made, last):
     # A failure domain is partitioned while it serves streams: the connections
-    # stay open and nothing arrives.  Callers waited until their deadline,
-    # although another server could resume after the last event.
+    # stay open and nothing arrives.  Callers must not wait until their
+    # deadline, since another server can resume after the last event.
     servers, replies = served_by_both(
         made, silent_after(last), test_forwarding.streams(1, 9), "/chat/"
     )
--- a/tests/cover/test_starts.py
+++ b/tests/cover/test_starts.py
@@ -19,8 +19,8 @@
 
 def test_a_request_that_comes_during_the_start_is_served():
     # All entries were killed.  They listen again half a second before they
-    # have the configuration, and callers connect at once.  If they were told
-    # to retry in a second, they would have used their only retry.
+    # have the configuration, and callers connect at once.  If they were
+    # asked to retry in a second, they would have used their only retry.
     with platform_world.PlatformWorld() as deployment:
         assert deployment.apply(platform_world.manifest(1)).status == 200
         server = deployment.server(test_forwarding.answers(200, b"done"))
