--- a/packages/dandeliontrail/src/dandeliontrail/decisions/shared.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/shared.py
@@ -320,8 +320,8 @@
     def _usable_servers(self, work, servers, now):
         """Return the servers that may take the work, by name.
 
-        Of several servers at one address only the most recent one counts:
-        a server that restarts at the same address has a new name.
+        Of several servers at one address only the one that announced itself
+        last counts: a server that restarts at the same address has a new name.
         """
         newest = {}
         for server in servers:
--- a/tests/cover/test_forwarding_ends.py
+++ b/tests/cover/test_forwarding_ends.py
@@ -50,7 +50,8 @@
     # An instance is suspended while it drains and resumes after its grace
     # period.  In one iteration of the event loop all requests are
     # notified that the instance ends, and a connection to a server is
-    # established.  The caller receives "not run", so the request must not be sent any more.
+    # established.  The caller receives "not run", so the request must not
+    # be sent any more.
     entry = made.entry()
     server = made.server(answers_500)
     made.knows(entry, server)
