--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/events_splitter.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/events_splitter.py
@@ -49,7 +49,7 @@
 
     @property
     def pending(self):
-        """Return whether part of an event has been received."""
+        """Whether part of an event has been received."""
         return bool(self._incomplete)
 
 
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/callers.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/callers.py
@@ -198,7 +198,8 @@
 def _request_digest(environ, body):
     """Return a digest of the whole request.
 
-    It tells a resend from a different request with the same idempotency key.
+    It distinguishes a resend from a different request with the same
+    idempotency key.
     """
     parts = (
         environ["REQUEST_METHOD"],
--- a/packages/dandeliontrail/src/dandeliontrail/components/members.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/members.py
@@ -218,7 +218,7 @@
         return out
 
     def _retry_unreachable(self):
-        """Send a heartbeat to one address at which nobody is known alive.
+        """Send a heartbeat to one address without a known live instance.
 
         An instance that knows no live member tries all of them.
         """
--- a/packages/dandeliontrail/src/dandeliontrail/components/requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/requests.py
@@ -533,7 +533,7 @@
 
 
 def _is_stoppable(work):
-    """Return whether work without a waiting caller may be stopped half-way.
+    """Return whether work without a waiting caller may be stopped midway.
 
     Output generated only for the caller may be stopped; a non-repeatable
     operation that is half done may not.
--- a/packages/dandeliontrail/src/dandeliontrail/components/revisions.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/revisions.py
@@ -50,7 +50,7 @@
 
     @property
     def number(self):
-        """Return the number of the revision in force, or -1 for none."""
+        """The number of the revision in force, or -1 for none."""
         return self.table.revision.number if self.table else -1
 
     def replace(self, revision):
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/claim_votes.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/claim_votes.py
@@ -41,7 +41,7 @@
 class _VoterStatus(msgspec.Struct):
     """The status of another voter when it sent the first page of its claims.
 
-    ``blank`` tells that it started without any earlier state.  ``started``
+    ``blank`` is true if it started without earlier state.  ``started``
     and ``ready`` are the times of its start and of its recovery, converted
     to this voter's clock; ``ready`` is ``None`` if it was still recovering.
     """
@@ -54,7 +54,7 @@
 class VoterTable:
     """The claims that this voter granted.
 
-    ``blank`` tells that it started without any earlier state: no
+    ``blank`` is true if it started without any earlier state: no
     configuration had been declared, so no request can have been accepted.
     ``started`` is the time of the start on this voter's monotonic clock.
     """
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/claims.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/claims.py
@@ -120,7 +120,7 @@
     """A page of the sender's claims, sorted by key, after the key ``after``.
 
     ``last`` marks the last page.  The sender started ``age`` seconds ago;
-    ``blank`` tells that it did so without any earlier state.  It has been
+    ``blank`` is true if it did so without any earlier state.  It has been
     recovered for ``ready_for`` seconds, ``None`` if it is still recovering.
     """
 
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/leases.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/leases.py
@@ -48,7 +48,7 @@
     ``lease`` is the duration of a grant and ``longest_call`` the timeout of
     an order or call made under it.  ``turn`` protects receivers that see
     only the sequence of calls: it is the least time between two calls of one
-    instance with a call of another in between.  ``by_keepers`` tells that
+    instance with a call of another in between.  ``by_keepers`` means that
     only keepers hold the lease.  A keeper's leases end with the log that it
     stores, so the first holder in a log has no predecessor.
     """
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/crash_suspects.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/crash_suspects.py
@@ -38,8 +38,8 @@
 def is_suspect(closed, output_at, now):
     """Return whether an attempt that failed may have crashed its server.
 
-    ``closed`` tells that the connection was closed, ``output_at`` when the
-    attempt had its first output, 0 without any.
+    ``closed`` is true if the connection was closed; ``output_at`` is the time
+    of the attempt's first output, 0 without any.
     """
     return closed and (not output_at or now - output_at < CRASH_WINDOW_SECONDS)
 
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/domain_reachability.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/domain_reachability.py
@@ -44,7 +44,8 @@
     """Judges domains by failed connections and by the silence of instances.
 
     ``own`` is the failure domain of this instance, which is never suspected;
-    ``view`` (:class:`.view.ClusterView`) tells when instances were heard.
+    ``view`` (:class:`.view.ClusterView`) has the times at which messages
+    of the instances arrived.
     """
 
     def __init__(self, own, view):
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/engines.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/engines.py
@@ -37,7 +37,7 @@
 
     ``placed`` is when it was placed, ``footprint`` the KV cache that it is
     expected to take, in tokens, ``first_output`` when its first output came,
-    0 before that.  ``probe`` tells that it probes a slow server.
+    0 before that.  ``probe`` is true if it probes a slow server.
     """
 
     work: object
@@ -57,7 +57,7 @@
     instance's share of it, ``allowed`` that share in whole requests,
     ``reserve`` the slots that lower classes leave free.  ``gap`` and
     ``first`` compare the gap between tokens and the time to first token with
-    the usual ones.  ``slow`` tells that the server gets only probes.
+    the usual ones.  ``slow`` is true if the server gets only probes.
     """
 
     __slots__ = (
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/model_orders.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/model_orders.py
@@ -53,7 +53,7 @@
 
     @property
     def key(self):
-        """Return the key that identifies repetitions of the order."""
+        """The key that identifies repetitions of the order."""
         parts = [self.kind.value, self.server, self.model, self.version]
         parts += [self.adapter, self.role]
         return "/".join(parse.quote(part, safe="") for part in parts)
@@ -104,7 +104,7 @@
 
     @property
     def share(self):
-        """Return the share that met its targets; 1 with no requests."""
+        """The share that met its targets; 1 with no requests."""
         return self.met / self.requests if self.requests else 1.0
 
 
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/prefix_index.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/prefix_index.py
@@ -48,7 +48,7 @@
 
     @property
     def saved(self):
-        """Return the expected number of tokens saved."""
+        """The expected number of tokens saved."""
         return self.tokens * self.confidence
 
 
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/routing.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/routing.py
@@ -20,7 +20,7 @@
 
     @property
     def keyed(self):
-        """Return whether requests need a key, unless their route is public."""
+        """Whether requests need a key, unless their route is public."""
         return bool(self.revision.organisations)
 
     def find(self, host, path):
--- a/packages/dandeliontrail/src/dandeliontrail/errors.py
+++ b/packages/dandeliontrail/src/dandeliontrail/errors.py
@@ -7,7 +7,7 @@
 
 
 class DandeliontrailError(Exception):
-    """Base class of all errors; ``remedy`` tells how to resolve it."""
+    """Base class of all errors; ``remedy`` describes how to resolve it."""
 
     def __init__(self, message, remedy):
         super().__init__(f"{message} Remedy: {remedy}")
