--- a/packages/dandeliontrail/src/dandeliontrail/decisions/model_orders.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/model_orders.py
@@ -53,7 +53,7 @@
 
     @property
     def key(self):
-        """Return the key that identifies repetitions of the order."""
+        """The key that identifies repetitions of the order."""
         parts = [self.kind.value, self.server, self.model, self.version]
         parts += [self.adapter, self.role]
         return "/".join(parse.quote(part, safe="") for part in parts)
@@ -104,7 +104,7 @@
 
     @property
     def share(self):
-        """Return the share that met its targets; 1 with no requests."""
+        """The share that met its targets; 1 with no requests."""
         return self.met / self.requests if self.requests else 1.0
 
 
@@ -131,7 +131,7 @@
 
 
 def holds(announcement, model, version, adapter=""):
-    """Tell whether an engine reports a model (and an adapter) loaded."""
+    """Return whether an engine reports a model (and an adapter) loaded."""
     return any(
         item.name == model
         and (not version or item.version == version)
@@ -141,7 +141,7 @@
 
 
 def safe_to_unload(order, view, planned=()):
-    """Tell whether another engine still serves the model after ``order``.
+    """Return whether another engine still serves the model after ``order``.
 
     Copies that are being unloaded, or are about to be (``planned``), do not
     count even while they are still reported. Otherwise two placements of one
