--- a/bench/logging_cost.py
+++ b/bench/logging_cost.py
@@ -18,7 +18,7 @@
 import dandeliontrail
 from dandeliontrail.components import revisions as revisions_component
 from dandeliontrail.decisions import retry_budget
-from dandeliontrail.decisions import shared
+from dandeliontrail.decisions import shared_policy
 from dandeliontrail import effects
 from dandeliontrail import events
 from dandeliontrail.resources import announcements
@@ -55,7 +55,7 @@
         random.Random(1),
         [],
         routing_options=revisions_component.RoutingOptions(key_proof=None),
-        new_policy=lambda rng, view, state: shared.Shared(
+        new_policy=lambda rng, view, state: shared_policy.SharedServersPolicy(
             rng, view, state, limits
         ),
     )
@@ -101,7 +101,7 @@
         for effect in produced:
             if isinstance(
                 effect, effects.Log
-            ) and not request_log.is_said_at_the_end(effect):
+            ) and not request_log.is_covered_by_end_line(effect):
                 logger.info(effect.message, extra=effect.fields)
         log.effects(produced, 0.0)
 
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/forwarder.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/forwarder.py
@@ -32,7 +32,7 @@
 
 # Headers that apply to a single connection (RFC 9110, section 7.6.1) or that
 # this instance's HTTP server writes itself.
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "content-length",
@@ -96,7 +96,7 @@
         headers = [
             (name, value)
             for name, value in answer.headers
-            if name.lower() not in HOP_HEADERS
+            if name.lower() not in HOP_BY_HOP_HEADERS
         ]
         status = wsgi.status_line(answer.status)
         if output.events is None:
@@ -121,7 +121,7 @@
                 incoming.request_id,
                 incoming.host,
                 incoming.target,
-                tokens.hash_of(incoming.key) if incoming.key else "",
+                tokens.hash_token(incoming.key) if incoming.key else "",
                 incoming.timeout,
                 incoming.model,
                 incoming.parts,
@@ -141,7 +141,7 @@
         A request that arrived before the instance had recovered its state
         has no deadline yet; the instance limits that wait separately.
         """
-        life = self._host.life(self._incoming.request_id)
+        life = self._host.request_lifecycle(self._incoming.request_id)
         if life is None or self._deadline:
             return
         seconds = life.work.deadline - self._host.clock.now()
@@ -183,8 +183,8 @@
         return problems.internal_problem(request_id)
 
     def _report_overdue(self):
-        life = self._host.life(self._incoming.request_id)
-        begun = life is not None and life.begun > 0
+        life = self._host.request_lifecycle(self._incoming.request_id)
+        begun = life is not None and life.attempts_begun > 0
         self._host.submit(events.Overdue(self._incoming.request_id))
         return problems.deadline(self._incoming.request_id, begun)
 
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/instance.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/instance.py
@@ -21,15 +21,15 @@
 from . import early_hangup
 from . import early_listener
 from . import engine_client
-from . import face as face_module
 from . import host as host_module
 from . import http_server
+from . import listener_factory as listener_factory_module
 from . import listener_tls
 from . import metrics
-from . import patient_writes
 from . import peer_link
+from . import retrying_writer
 from . import settings
-from . import standard_face
+from . import standard_listeners
 from . import tokens
 from . import usage_disk
 from . import wsgi
@@ -43,20 +43,22 @@
 class Instance:
     """One instance, running between ``__enter__`` and ``__exit__``.
 
-    ``face`` provides the listeners beside the peer listener; by default it is
-    :class:`.standard_face.StandardFace`.  Without ``settings_path``, SIGHUP
-    does not reload the log level.
+    ``listener_factory`` provides the listeners beside the peer listener; by
+    default it is :class:`.standard_listeners.StandardListeners`.  Without
+    ``settings_path``, SIGHUP does not reload the log level.
     """
 
-    def __init__(self, cfg, logger, settings_path=None, face=None):
+    def __init__(self, cfg, logger, settings_path=None, listener_factory=None):
         self._cfg = cfg
-        self._face = face or standard_face.StandardFace()
+        self._listener_factory = (
+            listener_factory or standard_listeners.StandardListeners()
+        )
         self._settings_path = settings_path
         self._logger = logger
         self._stack = contextlib.ExitStack()
         self._servers = {}
         self._stopping = gevent_event.Event()
-        self.drain_state = drain.Drain(cfg.limits)
+        self.drain_state = drain.DrainState(cfg.limits)
         self._tls = listener_tls.ListenerTls(cfg.tls)
         self.host = None
         self.addresses = {}
@@ -110,7 +112,7 @@
             registry,
             self._logger,
         )
-        link.take_in = self.host.take_in
+        link.receive_batch = self.host.receive_batch
         if storage:
             writer = disk_writer.DiskWriter(
                 storage, self.host.submit, self._logger
@@ -131,7 +133,7 @@
         if keeper is None:
             return None
         path = pathlib.Path(keeper.data_dir) / folder
-        storage = patient_writes.open_when_writable(
+        storage = retrying_writer.open_when_writable(
             lambda: disk.FileStorage(path), self._logger
         )
         self._stack.callback(storage.close)
@@ -154,11 +156,11 @@
             keeper=keeper,
             bootstrap=cfg.bootstrap_keepers,
             keeps_usage=storage is not None,
-            **self._face.reducer_options(),
+            **self._listener_factory.reducer_options(),
         )
 
     def _listen(self):
-        inner = face_module.Inner(
+        parts = listener_factory_module.InstanceParts(
             self._cfg,
             self.host,
             self._engines,
@@ -171,14 +173,16 @@
             self.host, self._key, self._cfg.limits, self._link
         )
         listeners = [
-            *self._face.listeners(inner),
-            face_module.Listener("peers", self._cfg.listen.peers, peers_app),
+            *self._listener_factory.listeners(parts),
+            listener_factory_module.Listener(
+                "peers", self._cfg.listen.peers, peers_app
+            ),
         ]
         for item in listeners:
             server = http_server.Server(
                 _take_early_socket(item.address) or item.address,
                 self.drain_state.close_connections(
-                    wsgi.guard(item.app, self._logger)
+                    wsgi.catch_errors(item.app, self._logger)
                 ),
                 item.limits or self._cfg.limits,
                 self._logger,
@@ -205,7 +209,7 @@
         gevent.signal_handler(signal.SIGTERM, self.on_term)
         gevent.signal_handler(signal.SIGINT, self.on_term)
         gevent.signal_handler(signal.SIGHUP, self.reload)
-        if early_hangup.came():
+        if early_hangup.take_pending():
             self.reload()
         self._stopping.wait()
         self._logger.info("draining")
@@ -241,11 +245,15 @@
         A part that cannot be read keeps its present value; the others are
         reloaded.
         """
-        for part in (*self._face.reloadable(), self._key, self._tls):
+        for part in (
+            *self._listener_factory.reloadable(),
+            self._key,
+            self._tls,
+        ):
             self._reload_part(part.reload)
         if self._settings_path:
             self._reload_part(self._reload_log_level)
-        self._face.reloaded(self.host)
+        self._listener_factory.reloaded(self.host)
         self._logger.info("reloaded")
 
     def _reload_part(self, reload):
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/callers.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/callers.py
@@ -162,10 +162,10 @@
         return self._relay(environ, event, call, start_response)
 
     def _new_event(self, environ, body):
-        key = tokens.bearer(environ)
+        key = tokens.bearer_token(environ)
         return events.RequestReceived(
             request_id=environ[REQUEST_ID_KEY],
-            key_hash=tokens.hash_of(key) if key else "",
+            key_hash=tokens.hash_token(key) if key else "",
             class_name=environ.get("HTTP_X_REQUEST_CLASS", ""),
             timeout=_requested_timeout(environ),
             idempotency_key=environ.get("HTTP_IDEMPOTENCY_KEY", ""),
@@ -173,7 +173,7 @@
         )
 
     def _relay(self, environ, event, call, start_response):
-        if self._drain.refusing:
+        if self._drain.refuses_requests:
             raise wsgi.Problem(
                 503,
                 "draining",
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/resource_views.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listeners/resource_views.py
@@ -267,7 +267,7 @@
             server.announcement.failure_domain,
             server.serves(now),
             server.announcement.leaving,
-            round(now - server.heard, 3),
+            round(now - server.heard_at, 3),
             server.announcement,
         )
         for name, server in sorted(host.state.registry.servers.items())
@@ -359,7 +359,7 @@
         state.identity.instance,
         state.identity.failure_domain,
         state.store.version,
-        host.open_exchanges(),
+        host.open_exchange_count(),
         host.waiting(),
         len(state.registry.serving(now)),
         len(state.registry.servers),
--- a/tests/common/prompt_world.py
+++ b/tests/common/prompt_world.py
@@ -17,10 +17,10 @@
 import types
 
 from dandeliontrail.coordination import server_loads
-from dandeliontrail.decisions import patience
 from dandeliontrail.decisions import retry_budget
 from dandeliontrail.decisions import routing
-from dandeliontrail.decisions import shared
+from dandeliontrail.decisions import shared_policy
+from dandeliontrail.decisions import silence_timeouts
 from dandeliontrail.decisions import view as view_module
 from dandeliontrail.decisions import work as work_module
 from dandeliontrail.resources import revisions
@@ -95,7 +95,9 @@
         )
         limits = retry_budget.RetryLimits(0.2, 220.0, 10.0)
         view = view_module.FixedView(world.instance_count)
-        self.policy = shared.Shared(random.Random(number), view, state, limits)
+        self.policy = shared_policy.SharedServersPolicy(
+            random.Random(number), view, state, limits
+        )
 
     def decide(self):
         """Place or refuse the requests that wait at this instance."""
@@ -213,8 +215,8 @@
             for name, (running, unread) in total.items()
         ]
         for instance, own, mine in zip(self.instances, loads, reads):
-            others = server_loads.without(everyone, own)
-            instance.loads.take("others", "fd", others, self.now)
+            others = server_loads.subtract_own(everyone, own)
+            instance.loads.replace_report("others", "fd", others, self.now)
             for said in reads:
                 if said is not mine and said:
                     instance.policy.heard_reads(said, self.now)
@@ -284,7 +286,7 @@
         else:
             stream.attempts_begun += 1
         stream.server = placement.server
-        timeouts = patience.of_attempt(work, stream.attempts_begun - 1)
+        timeouts = silence_timeouts.of_attempt(work, stream.attempts_begun - 1)
         stream.sent_at = self.now
         self.schedule(
             self.now + 0.002, self.engines[placement.server].submit, stream
@@ -317,7 +319,7 @@
             return
         self.hedges_sought[stream.request.kind.name] += 1
         stream.hedge_sought = True
-        work.avoid.add(stream.server)
+        work.excluded_servers.add(stream.server)
         stream.instance.policy.seek(work, self.now)
         stream.instance.decide()
 
@@ -349,7 +351,9 @@
 
     def _cancel(self, stream, **how):
         stream.closed = True
-        ended = work_module.Ended(stream.work.request_id, stream.server, **how)
+        ended = work_module.AttemptEnd(
+            stream.work.request_id, stream.server, **how
+        )
         stream.instance.policy.ended(ended, self.now)
 
     def _watch_caller(self, request_id):
@@ -390,7 +394,7 @@
         self._cancel_hedge(stream)
         instance = stream.instance
         if instance.policy.withdraw(request_id) is None:
-            ended = work_module.Ended(request_id, "", wasted=True)
+            ended = work_module.AttemptEnd(request_id, "", wasted=True)
             instance.policy.ended(ended, self.now)
         instance.decide()
 
@@ -407,7 +411,7 @@
         self._cancel_hedge(stream)
         del self.streams[stream.work.request_id]
         request = stream.request
-        ended = work_module.Ended(
+        ended = work_module.AttemptEnd(
             stream.work.request_id, "", output_tokens=request.output_tokens
         )
         stream.instance.policy.ended(ended, self.now)
--- a/tests/cover/test_heartbeats.py
+++ b/tests/cover/test_heartbeats.py
@@ -16,7 +16,7 @@
 import pytest
 
 from tests.common import platform_world
-from tests.common import shared_play
+from tests.common import shared_policy_harness
 from tests.common import world
 from tests.cover import test_forwarding
 
@@ -201,34 +201,34 @@
     # If the policy kept its load and its cached prompt parts, the idle engine
     # would get no requests, and later requests whose prompts it must read
     # from the beginning.
-    play = shared_play.Play(count=1)
-    (server,) = play.directory.servers
+    harness = shared_policy_harness.PolicyHarness(count=1)
+    (server,) = harness.directory.servers
     name = server.announcement.backend_server
     server.announcement = msgspec.structs.replace(
         server.announcement, epoch=1000
     )
-    play.policy.observe(server, play.now)
-    first = play.review(0)
-    assert play.next()[first.request_id] == name
-    play.loads.take(
-        "other", "fd1", [server_loads.Load(name, 20, 40_000)], play.now
+    harness.policy.observe(server, harness.now)
+    first = harness.review(0)
+    assert harness.next()[first.request_id] == name
+    harness.loads.replace_report(
+        "other", "fd1", [server_loads.Load(name, 20, 40_000)], harness.now
     )
-    assert play.policy.own_loads()
+    assert harness.policy.own_loads()
     server.announcement = msgspec.structs.replace(
         server.announcement, epoch=2000, sequence=1
     )
-    play.policy.observe(server, play.now)
-    assert not play.policy.own_loads()
-    assert play.loads.unread(name) == 0
-    assert [item.text for item in play.policy.take_beliefs()] == [
+    harness.policy.observe(server, harness.now)
+    assert not harness.policy.own_loads()
+    assert harness.loads.unread(name) == 0
+    assert [item.text for item in harness.policy.take_beliefs()] == [
         "backend server restarted"
     ]
     # The end of an earlier attempt does not reduce the new incarnation's load.
-    ended = work_module.Ended(first.request_id, name, failed=True)
-    play.policy.ended(ended, play.now)
-    work = play.review(0)
-    assert play.next()[work.request_id] == name
-    (load,) = play.policy.own_loads()
+    ended = work_module.AttemptEnd(first.request_id, name, failed=True)
+    harness.policy.ended(ended, harness.now)
+    work = harness.review(0)
+    assert harness.next()[work.request_id] == name
+    (load,) = harness.policy.own_loads()
     assert load.running == 1
     # The shared part counts as unread again: the cache was lost.
     assert load.unread == 16_000
@@ -241,8 +241,8 @@
     # incarnation could have run the request.
     with platform_world.PlatformWorld() as platform:
         assert platform.apply(platform_world.manifest(1)).status == 200
-        entry, (server,) = test_forwarding.start(
-            platform, test_forwarding.answers(200, b"done")
+        entry, (server,) = test_forwarding.start_with_servers(
+            platform, test_forwarding.answer_script(200, b"done")
         )
         platform.heartbeat(server, born=1000)
         registry = entry.host.state.registry
--- a/tests/cover/test_partitions.py
+++ b/tests/cover/test_partitions.py
@@ -10,7 +10,7 @@
 
 from dandeliontrail.coordination import servers
 from dandeliontrail.resources import announcements
-from dandeliontrail_lab import pure_nodes
+from dandeliontrail_lab import simulated_nodes
 
 from tests.common import usage_nodes
 
@@ -33,7 +33,7 @@
 
     @stateful.initialize(seed=st.integers(0, 1000))
     def begin(self, seed):
-        self.net = pure_nodes.Network(seed)
+        self.net = simulated_nodes.Network(seed)
         for index, name in enumerate(NAMES):
             usage_nodes.start_instance(self.net, name, f"fd{index // 2}", 1)
         self.starts = 1
@@ -68,12 +68,12 @@
     @stateful.rule(one=NAME, other=NAME, both_ways=st.booleans())
     def path_is_cut(self, one, other, both_ways):
         if one != other:
-            self.net.separate([one], [other], both_ways)
+            self.net.partition([one], [other], both_ways)
 
     @stateful.rule(domain=st.integers(0, 2))
     def domain_is_cut_off(self, domain):
         inside = NAMES[2 * domain : 2 * domain + 2]
-        self.net.separate(inside, [x for x in NAMES if x not in inside])
+        self.net.partition(inside, [x for x in NAMES if x not in inside])
 
     @stateful.rule(loss=st.sampled_from([0.0, 0.3]))
     def messages_get_lost(self, loss):
