--- a/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/simulation.py
+++ b/packages/dandeliontrail-lab/src/dandeliontrail_lab/policy/simulation.py
@@ -46,7 +46,7 @@
     request: object
     outcome: str = "open"
     first_token_at: float | None = None
-    ended: float = 0.0
+    ended_at: float = 0.0
     first_placed_at: float | None = None
     attempts: int = 0
     started_attempts: int = 0
@@ -123,9 +123,11 @@
         item = instance_view.work_of(request)
         self._numbers_by_id[item.request_id] = number
         self._instance_indices[number] = instance_index
-        self._unanswered[request.shape.name].append(self.results[number])
+        self._unanswered[request.request_class.name].append(
+            self.results[number]
+        )
         self.schedule(
-            request.arrives + request.shape.timeout,
+            request.arrives + request.request_class.timeout,
             self._on_caller_timeout,
             number,
         )
@@ -191,10 +193,10 @@
     def _on_attempt_rejected(self, number, item, engine):
         policy = self.instances[self._instance_indices[number]].policy
         policy.ended(
-            work_module.Ended(item.request_id, engine.name, failed=True),
+            work_module.AttemptEnd(item.request_id, engine.name, failed=True),
             self.now,
         )
-        item.avoid.add(engine.name)
+        item.excluded_servers.add(engine.name)
         self._requeue_or_fail(number, item)
 
     def _requeue_or_fail(self, number, item):
@@ -216,7 +218,7 @@
         self._close(number, "late")
         if policy.withdraw(request_id) is None and result.attempts:
             policy.ended(
-                work_module.Ended(request_id, "", wasted=True), self.now
+                work_module.AttemptEnd(request_id, "", wasted=True), self.now
             )
             name = f"{number}/{result.attempts}"
             for engine in self.engines:
@@ -226,7 +228,7 @@
     def _close(self, number, outcome):
         result = self.results[number]
         result.outcome = outcome
-        result.ended = self.now
+        result.ended_at = self.now
         self._open -= 1
 
     # Engines
@@ -269,7 +271,7 @@
             spent = (event.when - stream.first_token_at) * 1000.0
             gaps = [spent / (stream.output - 1)]
         policy.ended(
-            work_module.Ended(
+            work_module.AttemptEnd(
                 str(number), engine.name, stream.output, gaps_ms=gaps
             ),
             self.now,
@@ -303,13 +305,14 @@
         instance_index = self._instance_indices[number]
         policy = self.instances[instance_index].policy
         policy.ended(
-            work_module.Ended(str(number), engine.name, failed=True),
+            work_module.AttemptEnd(str(number), engine.name, failed=True),
             self.now,
         )
         item = instance_view.work_of(result.request)
-        item.avoid.add(engine.name)
+        item.excluded_servers.add(engine.name)
         repeats = (
-            result.request.shape.repeatable and not stream.generated_tokens
+            result.request.request_class.repeatable
+            and not stream.generated_tokens
         )
         if repeats and result.attempts < MAX_ATTEMPTS:
             if policy.retry(item, self.now):
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/host.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/host.py
@@ -20,8 +20,8 @@
 # Tick interval in seconds; the reducer's timers are 0.1 s and longer.
 TICK_SECONDS = 0.1
 # An instance ticks faster until it has the replicated state: callers are
-# waiting, and each step of the start (greet, ask, fetch) takes one tick.  An
-# instance that reaches no peer returns to the normal rate after
+# waiting, and each step of the start (contact, query, fetch) takes one tick.
+# An instance that reaches no peer returns to the normal rate after
 # ``START_PHASE_SECONDS``.
 START_TICK_SECONDS = 0.025
 START_PHASE_SECONDS = 2.0
@@ -95,7 +95,7 @@
     def attach_connections(self, pool):
         """Register a connection pool.
 
-        It is told to drop its connections to servers that have gone away.
+        The host calls it to drop connections to servers that are gone.
         """
         self._pools.append(pool)
 
@@ -134,7 +134,7 @@
         finally:
             self._applying = False
 
-    def take_in(self, envelope):
+    def receive_batch(self, envelope):
         """Submit every message of a batch from another instance."""
         for message in envelope.messages:
             self.submit(events.PeerMessageReceived(envelope.sender, message))
@@ -153,7 +153,7 @@
         """Log an exception of the reducer and count it.
 
         One event that fails must not end the instance.  If it belongs to a
-        request, the exchange is told that no answer will come.
+        request, the exchange is notified that no answer will come.
         """
         self.metrics.counters["faults_total"] += 1
         name = type(event).__name__
@@ -161,7 +161,7 @@
         self.logger.error("event failed", extra=fields, exc_info=exc)
         exchange = self._exchanges.get(getattr(event, "request_id", None))
         if exchange:
-            exchange.fault()
+            exchange.report_reducer_failure()
 
     def _execute(self, emitted):
         for effect in emitted:
@@ -184,7 +184,7 @@
         return self.state.store.version > seen
 
     def _tick_forever(self):
-        """Tick periodically; the first tick, at once, greets the seeds."""
+        """Tick periodically; the first, at once, contacts the seeds."""
         fast_until = self.clock.now() + START_PHASE_SECONDS
         while True:
             self._read_clock()
@@ -199,7 +199,7 @@
                 TICK_SECONDS if at_normal_rate else START_TICK_SECONDS
             )
 
-    def life(self, request_id):
+    def request_lifecycle(self, request_id):
         """Return the state of a request that has not ended, or ``None``."""
         return self.reducer.lives.get(request_id)
 
@@ -209,7 +209,7 @@
         The request may have ended, or the attempt may have been abandoned,
         since the reducer decided on the dispatch.
         """
-        life = self.life(dispatch.request_id)
+        life = self.request_lifecycle(dispatch.request_id)
         return life is not None and life.has_attempt(dispatch.attempt)
 
     def attach(self, exchange):
@@ -226,7 +226,7 @@
         """Return the exchanges of all requests in progress."""
         return list(self._exchanges.values())
 
-    def open_exchanges(self):
+    def open_exchange_count(self):
         """Return the number of requests in progress."""
         return len(self._exchanges)
 
@@ -234,11 +234,11 @@
         """Return the number of queued requests of each class."""
         return self.reducer.waiting()
 
-    def expect_write(self, write_id, result):
+    def register_write(self, write_id, result):
         """Register ``result``, an async result, for the outcome of a write."""
         self._pending_writes[write_id] = result
 
-    def forget_write(self, write_id):
+    def unregister_write(self, write_id):
         """Unregister the async result of a write."""
         self._pending_writes.pop(write_id, None)
 
@@ -255,7 +255,7 @@
     def _cut_off(self, effect):
         exchange = self._exchanges.get(effect.refusal.request_id)
         if exchange:
-            exchange.end_with(problems.problem_of(effect.refusal))
+            exchange.fail(problems.problem_of(effect.refusal))
 
     def _cancel(self, effect):
         gevent.spawn(self._engines.cancel, effect.url, effect.request_id)
@@ -290,7 +290,7 @@
         self._usage_disk.put(effect)
 
     def _log(self, effect):
-        if request_log.is_said_at_the_end(effect):
+        if request_log.is_covered_by_end_line(effect):
             return
         level = effect.level.upper()
         self.logger.log(_LEVELS[level], effect.message, extra=effect.fields)
--- a/packages/dandeliontrail/src/dandeliontrail/components/requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/requests.py
@@ -109,7 +109,7 @@
         request.transition_to(request_lifecycle.Phase.CLAIMING)
         wanted = claim_rounds.ClaimRequest(
             work.request_id,
-            claims_module.key_of(work.organisation, event.idempotency_key),
+            claims_module.key_digest(work.organisation, event.idempotency_key),
             event.body_digest[: claims_module.KEY_DIGEST_LENGTH],
             work.repeatable,
             work.deadline,
@@ -226,7 +226,7 @@
         return out
 
     def _cut_off_blocked(self, request, now):
-        begun = request.begun > 0
+        begun = request.attempts_begun > 0
         request_id = request.work.request_id
         refusal = answers.refusal(request_id, ENDS_SERVERS, begun=begun)
         reason = ENDS_SERVERS.reason.value
@@ -325,7 +325,7 @@
         If the failed attempt may have ``begun``, the retry counts against the
         retry budget of the policy.
         """
-        request.work.avoid.add(request.server)
+        request.work.excluded_servers.add(request.server)
         if self._ends.is_blocked(request.work.fingerprint, now):
             return self._refuse(request, ENDS_SERVERS, now)
         if request.dispatches >= hedges.MAX_ATTEMPTS:
@@ -333,7 +333,7 @@
             return self._refuse(request, nothing, now)
         if self._avoids_all_servers(request.work):
             # One of them may have recovered by then.
-            request.work.avoid.clear()
+            request.work.excluded_servers.clear()
             return self._schedule_retry(
                 request, RETRY_PAUSE_SECONDS, now
             ) + self._run_policy(now)
@@ -354,11 +354,14 @@
         was unreachable count against neither.
         """
         work = request.work
-        work.avoid.add(request.server)
+        work.excluded_servers.add(request.server)
         if self._ends.is_blocked(work.fingerprint, now):
             return self._refuse(request, ENDS_SERVERS, now)
-        rejected = request.servers_reached - request.begun
-        if request.begun >= work.max_attempts or rejected >= MAX_REJECTIONS:
+        rejected = request.servers_reached - request.attempts_begun
+        if (
+            request.attempts_begun >= work.max_attempts
+            or rejected >= MAX_REJECTIONS
+        ):
             return self._refuse_after_failures(request, now)
         if not reached_server:
             self._policy.requeue(work, now)
@@ -369,7 +372,7 @@
     def _refuse_after_failures(self, request, now):
         nothing = sentinels.Nothing(
             sentinels.Reason.SERVER_FAILED
-            if request.begun
+            if request.attempts_begun
             else sentinels.Reason.ALL_BUSY,
             BUSY_RETRY_SECONDS,
         )
@@ -380,7 +383,7 @@
             work.class_name, work.model, work.service
         )
         names = {item.announcement.backend_server for item in servers}
-        return names <= work.avoid
+        return names <= work.excluded_servers
 
     def _schedule_retry(self, request, seconds, now):
         due = min(now + seconds, request.work.deadline)
@@ -416,7 +419,7 @@
         work = request.work
         del self.lives[work.request_id]
         self._ends.record_served(work.fingerprint, now)
-        ended = work_module.Ended(
+        ended = work_module.AttemptEnd(
             work.request_id,
             request.server,
             event.output_tokens,
@@ -508,7 +511,7 @@
         if request is None:
             return self._cut_short_early(event.request_id)
         begun = (
-            request.begun > 0
+            request.attempts_begun > 0
             or request.phase is request_lifecycle.Phase.CLAIMING
         )
         refusal = answers.refusal(event.request_id, DRAINING, begun=begun)
@@ -533,7 +536,7 @@
 
 
 def _is_stoppable(work):
-    """Tell whether work without a waiting caller may be stopped half-way.
+    """Return whether work without a waiting caller may be stopped midway.
 
     Output generated only for the caller may be stopped; a non-repeatable
     operation that is half done may not.
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/claims.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/claims.py
@@ -120,7 +120,7 @@
     """A page of the sender's claims, sorted by key, after the key ``after``.
 
     ``last`` marks the last page.  The sender started ``age`` seconds ago;
-    ``blank`` tells that it did so without any earlier state.  It has been
+    ``blank`` is true if it did so without any earlier state.  It has been
     recovered for ``ready_for`` seconds, ``None`` if it is still recovering.
     """
 
@@ -144,7 +144,7 @@
 )
 
 
-def key_of(organisation, idempotency_key):
+def key_digest(organisation, idempotency_key):
     """Return the digest that identifies an organisation's key."""
     text = f"{organisation}\0{idempotency_key}"
     return hashlib.sha256(text.encode()).hexdigest()[:KEY_DIGEST_LENGTH]
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/placing.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/placing.py
@@ -29,7 +29,7 @@
 INSTANCES_PER_SERVER = 6
 # Protected requests may exceed an engine's slots by this many: the engine's
 # own queue honours priority and gives the request the next slot sooner than
-# this instance would hear of a free one.
+# this instance would learn of a free one.
 MAX_OVERCOMMIT_SLOTS = 2
 # A slow server gets work that can wait this many service times, multiplied by
 # how much slower the server is.
@@ -174,7 +174,7 @@
         if not all(engine.slow for _, engine in sample):
             return None
         for server, engine in sample:
-            untried = engine.name not in requirements.work.avoid
+            untried = engine.name not in requirements.work.excluded_servers
             if untried and server.serves(now) and engine.may_probe(now):
                 return engine.name
         return None
@@ -186,7 +186,10 @@
         return chosen + subset.with_names(self._freed)
 
     def _may_place(self, requirements, server, engine, fleet, now):
-        if not server.serves(now) or engine.name in requirements.work.avoid:
+        if (
+            not server.serves(now)
+            or engine.name in requirements.work.excluded_servers
+        ):
             return False
         if engine.slow and self._options.slow_servers:
             if not self._may_use_slow(requirements, engine, now):
@@ -207,7 +210,7 @@
         return requirements.open and engine.own < engine.allowed
 
     def _may_use_slow(self, requirements, engine, now):
-        """Tell whether work may go to a slow server.
+        """Return whether work may go to a slow server.
 
         Backlog work may if its target leaves plenty of time, since a slow
         server still has some throughput. All other work is limited to one
@@ -234,12 +237,13 @@
 
 
 def failed_everywhere(work, servers):
-    """Tell whether every server has failed this work already.
+    """Return whether every server has failed this work already.
 
     Such work is refused at once instead of near its deadline.
     """
-    if not work.avoid:
+    if not work.excluded_servers:
         return False
     return all(
-        server.announcement.backend_server in work.avoid for server in servers
+        server.announcement.backend_server in work.excluded_servers
+        for server in servers
     )
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/shared.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/shared_policy.py
@@ -65,7 +65,7 @@
     unread: float
 
 
-class Shared(policy.Policy):
+class SharedServersPolicy(policy.Policy):
     """Schedules for one instance, by its own and the others' work."""
 
     def __init__(self, rng, view, state, limits):
@@ -239,7 +239,7 @@
                 self._searches.end(work.request_id)
                 decisions.append(decision)
             elif decision is not None:
-                # A hedge is never refused: the search goes on, and may now use
+                # A hedge is never refused: the search continues and may use
                 # the servers that turned the work away before.
                 work.ask_again()
         return decisions
@@ -282,9 +282,9 @@
         usable = self._usable_in_round(work, servers, now)
         if not usable:
             waited = now - work.received
-            if waited < NO_SERVER_WAIT_SECONDS and len(work.avoid) < len(
-                servers
-            ):
+            if waited < NO_SERVER_WAIT_SECONDS and len(
+                work.excluded_servers
+            ) < len(servers):
                 return None
             return self._refusal(work, sentinels.Reason.NO_SERVER, servers)
         if not work.parts:
@@ -309,7 +309,7 @@
 
         Work that avoids servers after failed attempts is not cached.
         """
-        if work.avoid:
+        if work.excluded_servers:
             return self._usable_servers(work, servers, now)
         cached = self._round_usable.get(work.service)
         if cached is None:
@@ -320,19 +320,19 @@
     def _usable_servers(self, work, servers, now):
         """Return the servers that may take the work, by name.
 
-        Of several servers at one address only the one heard of last counts:
-        a server that restarts at the same address has a new name.
+        Of several servers at one address only the one that announced itself
+        last counts: a server that restarts at the same address has a new name.
         """
         newest = {}
         for server in servers:
             url = server.announcement.url
             known = newest.get(url)
-            if known is None or server.heard > known.heard:
+            if known is None or server.heard_at > known.heard_at:
                 newest[url] = server
         usable = {}
         for server in newest.values():
             name = server.announcement.backend_server
-            if not server.serves(now) or name in work.avoid:
+            if not server.serves(now) or name in work.excluded_servers:
                 continue
             if self._table.server(name).health.usable(now):
                 usable[name] = server
@@ -425,7 +425,7 @@
             self._record_answering(attempt, now)
 
     def ended(self, ended, now):
-        """Record how an attempt ended (:class:`.work.Ended`)."""
+        """Record how an attempt ended (:class:`.work.AttemptEnd`)."""
         attempt = self._attempts.take(ended)
         if attempt is None:
             return
--- a/packages/dandeliontrail/src/dandeliontrail/effects/requests.py
+++ b/packages/dandeliontrail/src/dandeliontrail/effects/requests.py
@@ -4,14 +4,14 @@
 
 from .. import sentinels
 from ..coordination import claims
-from ..decisions import patience as patience_module
+from ..decisions import silence_timeouts
 
 
 class Dispatch(msgspec.Struct):
     """Send the request to a backend server, as attempt ``attempt``.
 
-    ``patience`` has the silence timeouts: an attempt that sends nothing for
-    that long counts as silent.  An attempt started beside a silent one is a
+    ``patience`` has the silence timeouts: an attempt that sends nothing
+    within them counts as silent.  An attempt started beside a silent one is a
     hedge; the first of the two to send anything gets the request.
     """
 
@@ -21,8 +21,8 @@
     url: str
     priority: int
     repeatable: bool = True
-    patience: patience_module.SilenceTimeouts = (
-        patience_module.NO_SILENCE_TIMEOUTS
+    patience: silence_timeouts.SilenceTimeouts = (
+        silence_timeouts.NO_SILENCE_TIMEOUTS
     )
 
 
@@ -62,7 +62,7 @@
 
 
 class Withdraw(msgspec.Struct):
-    """Abort the hedge ``attempt``; the silent attempt goes on."""
+    """Abort the hedge ``attempt``; the silent attempt continues."""
 
     request_id: str
     attempt: int
--- a/tests/common/duty_world.py
+++ b/tests/common/duty_world.py
@@ -16,7 +16,7 @@
 from dandeliontrail.coordination import quorum_log_records as records
 from dandeliontrail import effects
 from dandeliontrail import events
-from dandeliontrail_lab import pure_nodes
+from dandeliontrail_lab import simulated_nodes
 
 from tests.common import quorum_world
 
@@ -72,7 +72,7 @@
             )
 
 
-class DutyNetwork(pure_nodes.Network):
+class DutyNetwork(simulated_nodes.Network):
     """Keepers and counting instances, with fault injection.
 
     ``counters_per_domain`` is how many instances count in each failure domain.
@@ -114,7 +114,7 @@
             domain,
             seeds=list(KEEPERS),
             bootstrap=KEEPERS,
-            log_options=quorum_log_options.LogOptions(may_found=first),
+            log_options=quorum_log_options.LogOptions(may_bootstrap=first),
             duty_options=OPTIONS,
             **options,
         )
@@ -172,8 +172,8 @@
             return
         super().apply(node, event)
 
-    def _carry_out(self, node, out):
-        super()._carry_out(node, out)
+    def _apply_effects(self, node, out):
+        super()._apply_effects(node, out)
         for effect in out:
             if isinstance(effect, (effects.AppendLog, effects.ReplaceLog)):
                 self._append_to_disk(node, effect)
--- a/tests/cover/test_claims.py
+++ b/tests/cover/test_claims.py
@@ -81,7 +81,7 @@
 
 def test_holder_that_restarted_leaves_the_outcome_unknown():
     # The instance that accepted the request crashes.  Nobody can know whether
-    # it ran, so a retry must neither run nor be told "not run".
+    # it ran, so a retry must neither run nor receive "not run".
     world = make_world()
     world.request("i0", "order")
     world.settle()
@@ -165,7 +165,12 @@
     world.crash("v2")
     world.crash("v0")
     late = claims.ClaimVote(
-        claims.key_of("", ""), f"{first}.1", f"{first}.1", "d", "i0", "i0:1"
+        claims.key_digest("", ""),
+        f"{first}.1",
+        f"{first}.1",
+        "d",
+        "i0",
+        "i0:1",
     )
     world.reconnect("i0", "v2")
     world.messages.append(("v2", "i0", late))
--- a/tests/cover/test_starts.py
+++ b/tests/cover/test_starts.py
@@ -19,11 +19,11 @@
 
 def test_a_request_that_comes_during_the_start_is_served():
     # All entries were killed.  They listen again half a second before they
-    # have the configuration, and callers connect at once.  If they were told
-    # to retry in a second, they would have used their only retry.
+    # have the configuration, and callers connect at once.  If they were
+    # asked to retry in a second, they would have used their only retry.
     with platform_world.PlatformWorld() as deployment:
         assert deployment.apply(platform_world.manifest(1)).status == 200
-        server = deployment.server(test_forwarding.answers(200, b"done"))
+        server = deployment.server(test_forwarding.answer_script(200, b"done"))
         began = time.monotonic()
         entry = deployment.program("entry")
         calls = [
@@ -61,7 +61,7 @@
         reply = deployment.call(entry, "POST", "/order/", left="3000")
         assert reply.status == 503
         assert float(reply.headers["retry-after"]) > 0
-        assert time.monotonic() - began < early_requests.PATIENCE + 0.5
+        assert time.monotonic() - began < early_requests.MAX_WAIT_SECONDS + 0.5
 
 
 def test_a_caller_that_leaves_during_the_start_is_forgotten():
@@ -70,9 +70,9 @@
         sock = deployment.connect(entry)
         headers = platform_world.caller_headers("r1")
         platform_world.send(sock, "POST", "/order/", headers, b"{}")
-        world.wait_until(entry.host.open_exchanges)
+        world.wait_until(entry.host.open_exchange_count)
         sock.close()
-        world.wait_until(lambda: not entry.host.open_exchanges())
+        world.wait_until(lambda: not entry.host.open_exchange_count())
 
 
 def test_requests_wait_for_the_state_within_bounds():
@@ -84,7 +84,7 @@
     assert (event.request_id, received) == ("short", 0.0)
     assert early.drop("long")
     assert not early.drop("long")
-    for number in range(early_requests.MOST_WAITING):
+    for number in range(early_requests.MAX_WAITING_REQUESTS):
         assert early.hold(request_event(f"r{number}"), 1.0)
     assert not early.hold(request_event("one more"), 1.0)
-    assert len(early.due(True, 1.0)) == early_requests.MOST_WAITING
+    assert len(early.due(True, 1.0)) == early_requests.MAX_WAITING_REQUESTS
