--- a/tests/common/world.py
+++ b/tests/common/world.py
@@ -182,7 +182,7 @@
             gevent.sleep(1.0)
 
     def knows(self, server):
-        """Tell whether every instance has registered a backend server."""
+        """Return whether every instance has registered a backend server."""
         return all(
             server in item.host.state.registry.servers
             for item in self.instances
@@ -207,7 +207,10 @@
         wait_until(lambda: self.in_force(written["version"]))
 
     def in_force(self, version):
-        """Tell whether every instance is ready and has applied ``version``."""
+        """Return whether every instance has applied ``version``.
+
+        Each must also be ready.
+        """
         return all(
             item.host.state.log.ready
             and item.host.state.store.version >= version
--- a/tests/cover/test_heartbeats.py
+++ b/tests/cover/test_heartbeats.py
@@ -37,7 +37,7 @@
 
 
 def learn_heartbeat(registry, name="i-1", at=0.0, **changed):
-    """Pass a heartbeat to ``registry``; tell whether it changed a record."""
+    """Pass a heartbeat to ``registry``; return whether it changed a record."""
     announcement = registration.decode_heartbeat(
         name, body_of(**changed), registry
     )
--- a/tests/soak/processes.py
+++ b/tests/soak/processes.py
@@ -101,7 +101,7 @@
 
     @property
     def running(self):
-        """Tell whether the process is running."""
+        """Return whether the process is running."""
         return self._process is not None and self._process.poll() is None
 
     def signal(self, number):
@@ -110,7 +110,7 @@
             self._process.send_signal(number)
 
     def catches(self, number):
-        """Tell whether the process has installed a handler for a signal."""
+        """Return whether the process has installed a handler for a signal."""
         status = pathlib.Path(f"/proc/{self._process.pid}/status")
         try:
             lines = status.read_text().splitlines()
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -291,7 +291,7 @@
     # -- callers ----------------------------------------------------------
 
     def ready(self, entry):
-        """Tell whether an entry reports that it is ready."""
+        """Return whether an entry reports that it is ready."""
         address = (entry.ip, self.ports["ready"])
         reply = self.call(address, "GET", "/api/ready", (), b"", 1.0)
         return reply is not None and reply.status == 200
@@ -313,7 +313,7 @@
             gevent.sleep(self.rng.uniform(0.0, 0.1))
 
     def _send_request(self, entry, conn, kind):
-        """Send one request; tell whether the connection can be reused."""
+        """Send one request; return whether the connection can be reused."""
         self._count += 1
         request_id = f"{kind}-{self._count}"
         valid_key = self.keys[-1]
