--- a/tests/common/platform_world.py
+++ b/tests/common/platform_world.py
@@ -274,7 +274,9 @@
         )
         logger = logging.getLogger(f"test.{role}{self._count}")
         logger.propagate = False
-        listener_factory = programs.FACES[role](platform_settings, "")
+        listener_factory = programs.LISTENER_FACTORIES[role](
+            platform_settings, ""
+        )
         running = self._stack.enter_context(
             instance.Instance(
                 programs.instance_settings(platform_settings),
