--- /dev/null
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/backend_request.py
@@ -0,0 +1,201 @@
+"""Sends one request to one backend server and reads its answer.
+
+The errors raised here must tell reliably whether the request *may have run*.
+It has not run if no byte of it was sent, or if the server says that it did
+not run it.  After any other failure it may have run.
+"""
+
+import errno
+
+import gevent
+
+from . import answer_parser
+from . import connections as connections_module
+
+FAILURES = (OSError, gevent.Timeout, answer_parser.ParseError)
+# Late answers to earlier requests that are skipped on one connection.
+MAX_STALE_ANSWERS = 4
+# Real answers are below 1 MB.
+MAX_BODY_BYTES = 64 * 1024 * 1024
+
+
+class NotSent(Exception):
+    """No connection could be opened; nothing was sent."""
+
+
+class Broken(Exception):
+    """The exchange failed after the server may have begun the request.
+
+    ``closed`` is true if the connection ended, as it does when the server's
+    process ends.
+    """
+
+    def __init__(self, text, closed=False):
+        super().__init__(text)
+        self.closed = closed
+
+
+class Silent(Exception):
+    """The silence timeout passed without a byte; the call can be repeated."""
+
+
+class BackendRequest:
+    """One request to one server, and the answer to it."""
+
+    def __init__(self, connections, address, dialect, request_id):
+        self._connections = connections
+        self._address = address
+        self._dialect = dialect
+        self._request_id = request_id
+        self._conn = None
+        self._parser = answer_parser.AnswerParser()
+        self._unsent = memoryview(b"")
+        self.answer = None
+
+    def connect(self):
+        """Open or reuse a connection; raises :class:`NotSent` on failure."""
+        try:
+            self._conn = self._connections.open(self._address)
+        except connections_module.FAILURES as exc:
+            raise NotSent(f"{type(exc).__name__}: {exc}")
+
+    def set_silence_timeout(self, seconds):
+        """Set after how many seconds without a byte I/O raises ``Silent``.
+
+        The timeout applies to both directions, and the method that raised
+        :class:`Silent` may be called again.  ``None`` sets no timeout, so
+        that only the caller's deadline bounds the wait.
+        """
+        self._conn.sock.settimeout(seconds)
+
+    def prepare(self, method, target, headers, body):
+        """Build the bytes of the request for :meth:`send`."""
+        lines = [f"{method} {target} HTTP/1.1"]
+        lines.extend(f"{name}: {value}" for name, value in headers)
+        if body or method not in ("GET", "HEAD", "DELETE"):
+            lines.append(f"Content-Length: {len(body)}")
+        head = "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n"
+        self._unsent = memoryview(head + body)
+
+    def send(self):
+        """Send the unsent bytes; from then on the server may have begun."""
+        try:
+            while self._unsent:
+                sent = self._conn.sock.send(self._unsent)
+                self._unsent = self._unsent[sent:]
+        except FAILURES as exc:
+            _raise_if_silent("sending", exc)
+            # The server may have answered early, before it had read the
+            # whole request, and closed the connection.
+            self._unsent = memoryview(b"")
+            if not self._answered_early():
+                raise _broken("sending", exc)
+
+    def _answered_early(self):
+        try:
+            self._receive()
+        except (Broken, Silent, *FAILURES):
+            return False
+        return bool(self._parser.answers)
+
+    def read_head(self):
+        """Return the answer to this request once its head has come."""
+        skipped = 0
+        while True:
+            self._read_until(lambda answers: answers and answers[0].head_done)
+            answer = self._parser.answers[0]
+            answered_id = self._dialect.request_id_of(answer)
+            if not answered_id or answered_id == self._request_id:
+                self.answer = answer
+                return answer
+            # A late answer to an earlier request on this connection, whose
+            # caller has been answered already.
+            skipped += 1
+            if skipped > MAX_STALE_ANSWERS:
+                raise Broken("all answers received were for other requests")
+            self._read_until(lambda answers: answers[0].complete)
+            self._parser.pop()
+
+    def read_whole_body(self):
+        """Return the whole body; raises :class:`Broken` if it is truncated."""
+        answer = self.answer
+        while not answer.complete:
+            if len(answer.body) > MAX_BODY_BYTES:
+                raise Broken("the body of the answer is too long")
+            self._receive()
+        return answer.take()
+
+    def read_body_part(self):
+        """Return the next bytes of the body, ``b""`` once it is complete."""
+        answer = self.answer
+        while not answer.body:
+            if answer.complete:
+                return b""
+            self._receive()
+        return answer.take()
+
+    def _read_until(self, condition):
+        while not condition(self._parser.answers):
+            self._receive()
+
+    def _receive(self):
+        """Receive and parse once; raises if the answer is truncated."""
+        data = None
+        try:
+            data = self._conn.sock.recv(connections_module.RECEIVE_BYTES)
+            self._parser.feed(data)
+        except FAILURES as exc:
+            _raise_if_silent("reading", exc)
+            if self.answer is not None and self.answer.complete:
+                # Bytes after the complete answer: ignore them, and do not
+                # reuse the connection.
+                self._conn.idle_until = 0.0
+                return
+            raise _broken("reading", exc, at_end=data == b"")
+        if data:
+            return
+        first = self._parser.answers[0] if self._parser.answers else None
+        if first is None or not first.complete:
+            raise Broken(
+                "the server closed the connection in the middle of an answer",
+                closed=True,
+            )
+
+    def release(self):
+        """Return the connection to the pool, or close it.
+
+        It is closed unless the answer is complete and the connection can be
+        reused.  Closing it before the answer is complete tells the server to
+        stop.
+        """
+        conn, self._conn = self._conn, None
+        if conn is None:
+            return
+        answer = self.answer
+        parser = self._parser
+        if (
+            answer is not None
+            and answer.complete
+            and len(parser.answers) == 1
+            and parser.should_keep_alive()
+            and not parser.parser_failed()
+        ):
+            self._connections.keep(conn, answer)
+        else:
+            conn.close()
+
+
+def _raise_if_silent(operation, exc):
+    """Raise ``Silent`` for a timeout of the socket.
+
+    ``ETIMEDOUT`` is not one: with it the kernel reports that the connection
+    is dead.
+    """
+    if isinstance(exc, TimeoutError) and exc.errno != errno.ETIMEDOUT:
+        raise Silent(operation) from exc
+
+
+def _broken(operation, exc, at_end=False):
+    """Return a :class:`Broken` that describes a connection failure."""
+    closed = at_end or isinstance(exc, ConnectionError)
+    return Broken(f"{operation}: {type(exc).__name__}: {exc}", closed)
--- a/packages/dandeliontrail/src/dandeliontrail/components/members.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/members.py
@@ -77,7 +77,7 @@
             out.extend(self._report_silence(now))
             out.extend(self._report_relay())
         if self._members.heartbeat_now:
-            self._next_heartbeat = now + membership.HEARTBEAT_INTERVAL
+            self._next_heartbeat = now + membership.HEARTBEAT_INTERVAL_SECONDS
             self._decrease_patience(now)
             out.extend(self._report_reach(now))
             out.extend(self._send_heartbeats(now))
@@ -120,7 +120,8 @@
     def _report_silence(self, now):
         """Log which failure domains became silent or are heard again.
 
-        Request placement depends on this; see ``decisions.domain_reach``.
+        Request placement depends on this; see
+        ``decisions.domain_reachability``.
         """
         silent = self._members.silent_domains(now)
         before, self._logged_silent_domains = (
@@ -175,7 +176,7 @@
 
     def _increase_patience(self):
         health = self._members.health + 1
-        self._members.health = min(health, membership.WORST_HEALTH)
+        self._members.health = min(health, membership.MAX_HEALTH_SCORE)
 
     def _decrease_patience(self, now):
         if self._members.health and self._members.hears_anybody(now):
@@ -254,15 +255,15 @@
 
     def _check_linked_member(self, member, now):
         silence = now - member.heard
-        if silence < membership.PROBE_AFTER * self._members.patience():
+        if silence < membership.PROBE_AFTER_SECONDS * self._members.patience():
             return []
-        if member.probed is None:
-            member.probed = now
+        if member.probed_at is None:
+            member.probed_at = now
             return self._prober.ask(member, now)
-        waited = now - member.probed
-        if waited < probes.PROBE_WAIT * self._members.patience():
+        waited = now - member.probed_at
+        if waited < probes.PROBE_TIMEOUT_SECONDS * self._members.patience():
             return []
-        if not self._members.heard_since(member.probed):
+        if not self._members.heard_since(member.probed_at):
             # No member at all was heard since, so the fault lies with this
             # instance.  Suspecting everybody would only delay its recovery.
             return []
@@ -314,7 +315,7 @@
                 self._apply_refutation(source, message.refutations, now)
             )
         member.applied = message.applied
-        member.outside = message.outside
+        member.hears_other_domains = message.outside
         member.linked = not message.last
         if message.ask:
             answer = self._heartbeat_message(last=True)
--- a/packages/dandeliontrail/src/dandeliontrail/components/renewals.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/renewals.py
@@ -140,7 +140,7 @@
         domain = self._state.identity.failure_domain
         by_domain = {
             name: self._registry.vouch(name, now)
-            for name, running in self._registry.running.items()
+            for name, running in self._registry.running_by_domain.items()
             if running.servers
         }
         complete = vouches.Vouches(list(by_domain.values()))
@@ -203,5 +203,5 @@
         if source.failure_domain == domain:
             self._other_relay_vouched_at = now
         for vouch in message.vouches:
-            self._registry.vouched(vouch, delay, now)
+            self._registry.apply_vouch(vouch, delay, now)
         return []
--- a/packages/dandeliontrail/src/dandeliontrail/components/state.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/state.py
@@ -10,8 +10,8 @@
 from ..coordination import ledger
 from ..coordination import membership
 from ..coordination import quorum_log
-from ..coordination import quorum_log_neighbours as neighbours
 from ..coordination import quorum_log_options
+from ..coordination import quorum_log_peers
 from ..coordination import server_ends
 from ..coordination import server_loads
 from ..coordination import servers
@@ -79,7 +79,7 @@
     bootstrap=(),
     log_options=quorum_log_options.DEFAULT,
     routing_options=revisions.RoutingOptions(),
-    longest_lease=servers.LONGEST_LEASE,
+    longest_lease=servers.MAX_LEASE_SECONDS,
     duty_options=duties_state.DutyOptions(),
 ):
     """Return the state of an instance that knows only its seed peers.
@@ -95,7 +95,7 @@
     log = quorum_log.QuorumLog(
         identity.instance,
         rng,
-        neighbours.KnownMembers(identity, members),
+        quorum_log_peers.KnownMembers(identity, members),
         keeper,
         bootstrap,
         log_options,
--- a/packages/dandeliontrail/src/dandeliontrail/components/window_decisions.py
+++ b/packages/dandeliontrail/src/dandeliontrail/components/window_decisions.py
@@ -8,10 +8,10 @@
 """
 
 from .. import effects
+from . import call_scheduler
 from ..coordination import member_records
 from ..coordination import usage_windows
 from . import duties_state
-from . import duty_part
 
 # A window is decided once all instances have reported it completely, but not
 # before this time after its end.  Without failures, the last reports have
@@ -24,7 +24,7 @@
 LEFT = member_records.Standing.LEFT
 
 
-class WindowDecisions(duty_part.CallScheduler):
+class WindowDecisions(call_scheduler.CallScheduler):
     """Adds up the reports of instances and has the log decide the sums."""
 
     def __init__(self, state, propose):
@@ -52,7 +52,9 @@
         moment = clock.at(now)
         decided = self._duties.decided
         self._add_own_report(moment)
-        self._reports.settle(-1 if decided.last is None else decided.last)
+        self._reports.remove_decided(
+            -1 if decided.last is None else decided.last
+        )
         window = self._next_window(moment)
         end = (window + 1) * self._options.window
         ended_ago = moment - end
@@ -116,7 +118,7 @@
             if name not in keepers
             and member.standing is not LEFT
             and not self._is_lost(member, now)
-            and not self._reports.told_through(name, moment)
+            and not self._reports.has_reported_until(name, moment)
         ]
 
     def _is_lost(self, member, now):
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/server_loads.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/server_loads.py
@@ -68,7 +68,7 @@
     silent: list[str] = []
 
 
-def differ(loads, previous):
+def changed_significantly(loads, previous):
     """Return whether loads changed enough to be reported at once.
 
     Other instances base their decisions mainly on the number of prompt
@@ -117,14 +117,14 @@
 
     The sums are updated incrementally by each report: a relay of 39
     instances receives 200 reports per second, and recomputing the sums each
-    time would add up all the others again.  ``told_relay_at`` is when this
+    time would add up all the others again.  ``sent_to_relay_at`` is when this
     instance last sent its own loads to a relay.
     """
 
-    __slots__ = ("told_relay_at", "_said", "_sums")
+    __slots__ = ("sent_to_relay_at", "_said", "_sums")
 
     def __init__(self):
-        self.told_relay_at = float("-inf")
+        self.sent_to_relay_at = float("-inf")
         self._said = {}
         self._sums = {}
 
@@ -208,7 +208,7 @@
     ]
 
 
-class ReadLog:
+class SentPromptLog:
     """Recently sent prompts, for instances that poll a relay for updates.
 
     Each instance gets the entries added since its last query, except its
@@ -231,7 +231,7 @@
             self._count += 1
             self._reads.append((self._count, now, source, read))
 
-    def news_for(self, reader, incarnation, now):
+    def entries_since_last_query(self, reader, incarnation, now):
         """Return the entries that an instance has not received yet."""
         key = (reader, incarnation)
         last_sent = self._told.pop(key, 0)
--- a/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
+++ b/packages/dandeliontrail/src/dandeliontrail/coordination/servers.py
@@ -18,7 +18,7 @@
 # Upper bound on a lease in seconds, whatever lease the server announces:
 # after this time at most, a server that shut down or stopped announcing
 # itself gets no new work.
-LONGEST_LEASE = 3.0
+MAX_LEASE_SECONDS = 3.0
 # Expired records are kept for this long, up to this number, so that an older
 # announcement that is still in transit cannot revive the server.
 EXPIRED_RETENTION_SECONDS = 60.0
@@ -67,15 +67,15 @@
 
     ``expires`` and ``heard`` are times on this instance's monotonic clock;
     ``heard`` is when any instance first received the announcement.
-    ``content`` is the hash of the announcement without sequence and load,
+    ``content_hash`` covers the announcement without sequence and load,
     ``lease`` the duration of the lease in seconds.
     """
 
     announcement: announcements.Announcement
     heard: float
     expires: float
-    content: int = 0
-    lease: float = LONGEST_LEASE
+    content_hash: int = 0
+    lease: float = MAX_LEASE_SECONDS
 
     def serves(self, now):
         """Return whether the server may get new work."""
@@ -90,24 +90,25 @@
 class ServerRegistry:
     """All known backend servers by name, with digests for anti-entropy.
 
-    ``digest`` covers the servers whose lease has not expired; ``running``
-    has the servers that accept work by failure domain.
+    ``digest`` covers the servers whose lease has not expired;
+    ``running_by_domain`` maps failure domains to the servers there that accept
+    work.
     """
 
     __slots__ = (
         "servers",
         "digest",
-        "running",
+        "running_by_domain",
         "longest_lease",
         "_lapsed",
         "_next_lapse",
     )
 
-    def __init__(self, longest_lease=LONGEST_LEASE):
+    def __init__(self, longest_lease=MAX_LEASE_SECONDS):
         self.longest_lease = longest_lease
         self.servers = {}
         self.digest = digests.TableDigest()
-        self.running = {}
+        self.running_by_domain = {}
         self._lapsed = {}
         self._next_lapse = 0.0
 
@@ -129,7 +130,7 @@
             self._replace(server, announcement, now - age)
         else:
             return self._renew_from_copy(server, announcement, now - age)
-        server.content = content_hash(server.announcement)
+        server.content_hash = content_hash(server.announcement)
         self._index(server)
         return True
 
@@ -143,7 +144,7 @@
             return False
         if server.announcement.leaving or heard <= server.heard:
             return False
-        if content_hash(announcement) != server.content:
+        if content_hash(announcement) != server.content_hash:
             return False
         server.heard = heard
         server.expires = heard + self._lease_seconds(server.announcement)
@@ -157,8 +158,8 @@
         server.lease = self._lease_seconds(announcement)
         self._lapsed.pop(name, None)
         self._next_lapse = min(self._next_lapse, server.expires)
-        self.digest.put(name, server.content)
-        running_servers = self.running.setdefault(
+        self.digest.put(name, server.content_hash)
+        running_servers = self.running_by_domain.setdefault(
             announcement.failure_domain, vouches.RunningServers()
         )
         if announcement.leaving:
@@ -169,7 +170,7 @@
     def _remove_from_digests(self, name):
         domain = self.servers[name].announcement.failure_domain
         self.digest.drop(name)
-        self.running[domain].drop(name)
+        self.running_by_domain[domain].drop(name)
 
     def _replace(self, server, announcement, heard):
         before = server.announcement
@@ -204,7 +205,10 @@
         order = (renewal.epoch, renewal.sequence)
         if order <= before.order() or _has_left(before, renewal.epoch):
             return False
-        if renewal.epoch != before.epoch or renewal.content != server.content:
+        if (
+            renewal.epoch != before.epoch
+            or renewal.content != server.content_hash
+        ):
             return None
         load = _decode_load(renewal) or _aged_load(
             before.load, now - server.heard
@@ -220,14 +224,14 @@
 
     def vouch(self, domain, now):
         """Return a vouch that renews all running servers of a domain."""
-        return self.running[domain].vouch(domain, now)
+        return self.running_by_domain[domain].vouch(domain, now)
 
-    def vouched(self, vouch, delay, now):
+    def apply_vouch(self, vouch, delay, now):
         """Apply a vouch of a relay; return whether it was accepted.
 
         ``delay`` is the time in seconds that it took to get here.
         """
-        running_servers = self.running.get(vouch.failure_domain)
+        running_servers = self.running_by_domain.get(vouch.failure_domain)
         return running_servers is not None and running_servers.renew(
             vouch, delay, now
         )
@@ -241,7 +245,7 @@
             name,
             announcement.epoch,
             announcement.sequence,
-            server.content,
+            server.content_hash,
             round(max(0.0, now - server.heard), 3),
             [load.running, load.waiting, load.kv_used, load.measured_ms_ago],
         )
@@ -256,7 +260,7 @@
         """Return all servers that may get new work."""
         return [item for item in self.servers.values() if item.serves(now)]
 
-    def forget(self, now, after=EXPIRED_RETENTION_SECONDS):
+    def remove_expired(self, now, after=EXPIRED_RETENTION_SECONDS):
         """Remove servers whose lease expired over ``after`` seconds ago.
 
         Returns their names.  Expired servers are removed from the digests
--- a/packages/dandeliontrail/src/dandeliontrail/decisions/limits.py
+++ b/packages/dandeliontrail/src/dandeliontrail/decisions/limits.py
@@ -96,10 +96,12 @@
         self._own_usage = 0.0
         self.limit = limit
         total_rate = self._own_rate + self._other_rate
-        part = quota.part(self._own_rate, total_rate, instances)
-        missing = (limit - total_rate) * part
+        share = quota.capacity_share(self._own_rate, total_rate, instances)
+        missing = (limit - total_rate) * share
         using = self._own_rate > 0.8 * self.rate
-        adjusted = quota.moved(self.rate, limit / instances, missing, using)
+        adjusted = quota.adjusted_quota(
+            self.rate, limit / instances, missing, using
+        )
         self.rate = min(limit, adjusted)
 
 
@@ -169,7 +171,9 @@
         self._refreshed_at = now
         self._instances = self._view.instances(now)
         for scope in self._scopes.values():
-            used = self._view.elsewhere(scope.organisation, scope.class_name)
+            used = self._view.usage_elsewhere(
+                scope.organisation, scope.class_name
+            )
             limits = scope.limits
             if scope.requests is not None:
                 scope.requests.refresh(
@@ -190,7 +194,7 @@
         daily_quota = _daily_quota(work)
         if daily_quota is None:
             return False
-        used = self._view.today(work.organisation)
+        used = self._view.tokens_today(work.organisation)
         return (
             used + self._outstanding_tokens.get(work.organisation, 0.0)
             >= daily_quota
--- a/tests/cover/test_claims.py
+++ b/tests/cover/test_claims.py
@@ -8,7 +8,7 @@
 from tests.common import claim_machine
 from tests.common import claim_world
 
-Stand = claim_world.Stand
+ClaimState = claim_world.ClaimState
 
 
 class TestNoKeyRunsTwice(claim_machine.ClaimMachine.TestCase):
@@ -35,7 +35,7 @@
     second = world.request("i0", "order")
     world.settle()
     assert world.running == {first: "v0"}
-    world.end(first, Stand.HELD)
+    world.end(first, ClaimState.HELD)
     world.settle()
     third = world.request("v2", "order")
     world.settle()
@@ -59,16 +59,16 @@
     second = world.request("i0", "report")
     world.settle(12.0)
     assert second not in world.running
-    reason, ran = world.peers["i0"].recorder.refused[second]
+    reason, may_have_run = world.peers["i0"].recorder.refused[second]
     assert reason is sentinels.Reason.NO_QUORUM
-    assert not ran
+    assert not may_have_run
 
 
 def test_voter_recovers_from_the_others_and_votes_again():
     world = make_world()
     first = world.request("v0", "report")
     world.settle()
-    world.end(first, Stand.HELD)
+    world.end(first, ClaimState.HELD)
     world.crash("v1")
     world.settle(8.0)
     assert world.peers["v1"].voting.ready(world.now)
@@ -88,9 +88,9 @@
     world.crash("i0")
     second = world.request("v1", "order")
     world.settle()
-    reason, ran = world.peers["v1"].recorder.refused[second]
+    reason, may_have_run = world.peers["v1"].recorder.refused[second]
     assert reason is sentinels.Reason.HOLDER_LOST
-    assert ran
+    assert may_have_run
 
 
 def test_key_with_another_body_is_refused():
@@ -99,7 +99,7 @@
     world.settle()
     second = world.request("i0", "order", "body-2")
     world.settle()
-    reason, ran = world.peers["i0"].recorder.refused[second]
+    reason, may_have_run = world.peers["i0"].recorder.refused[second]
     assert reason is sentinels.Reason.KEY_REUSED
 
 
@@ -107,7 +107,7 @@
     world = make_world()
     first = world.request("v0", "order")
     world.settle()
-    world.end(first, Stand.NOT_RUN)
+    world.end(first, ClaimState.NOT_RUN)
     world.settle()
     second = world.request("i0", "order")
     world.settle()
