--- a/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/dialect.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/forwarding/dialect.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class Incoming(msgspec.Struct):
+class IncomingRequest(msgspec.Struct):
     """The head of a caller's request; its body has not been read.
 
     ``headers`` are those to forward, without hop-by-hop headers and those
@@ -30,7 +30,7 @@
 
 
 class AttemptInfo(msgspec.Struct):
-    """What a server is told about an attempt, besides the caller's headers.
+    """What is sent to a server with an attempt, besides caller headers.
 
     ``remaining`` is the time until the request's deadline, in seconds.
     ``last_event_id`` is the id of the last event that the caller has, or ''.
@@ -50,7 +50,7 @@
 
     @abc.abstractmethod
     def read(self, head):
-        """Return the :class:`Incoming` of a ``http_server.Head``.
+        """Return the :class:`IncomingRequest` of a ``http_server.Head``.
 
         Raises ``wsgi.Problem`` if the head is malformed.
         """
@@ -73,4 +73,4 @@
 
     @abc.abstractmethod
     def problem_headers(self, request_id, problem):
-        """Return the headers of a ``wsgi.Problem`` told by this node."""
+        """Return the headers of a ``wsgi.Problem`` that this node returns."""
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/face.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/listener_factory.py
@@ -24,7 +24,7 @@
     limits: settings.LimitSettings | None = None
 
 
-class Inner(msgspec.Struct):
+class InstanceParts(msgspec.Struct):
     """The parts of an instance that its listeners use.
 
     ``stack`` is closed with the instance; ``on_term`` starts its drain.
@@ -33,17 +33,17 @@
     cfg: settings.Settings
     host: host_module.Host
     engines: engine_client.PooledEngineClient
-    drain: drain_module.Drain
+    drain: drain_module.DrainState
     logger: typing.Any
     on_term: typing.Callable
     stack: contextlib.ExitStack
 
 
-class Face(abc.ABC):
+class ListenerFactory(abc.ABC):
     """Builds the listeners of an instance and chooses its policy."""
 
     @abc.abstractmethod
-    def listeners(self, inner):
+    def listeners(self, parts):
         """Return the :class:`Listener` objects, except the peer listener."""
 
     def reducer_options(self):
--- a/packages/dandeliontrail-node/src/dandeliontrail_node/tokens.py
+++ b/packages/dandeliontrail-node/src/dandeliontrail_node/tokens.py
@@ -10,13 +10,13 @@
 UNSIGNED = "unsigned"
 
 
-def hash_of(secret):
+def hash_token(secret):
     """Return the hash of a secret, as it is stored and compared."""
     digest = hashlib.sha256(secret.encode()).hexdigest()
     return f"sha256:{digest}"
 
 
-def bearer(environ):
+def bearer_token(environ):
     """Return the bearer token of a request, or ''."""
     header = environ.get("HTTP_AUTHORIZATION", "")
     if not header.startswith(SCHEME):
@@ -58,7 +58,7 @@
         All lines are compared, each in constant time, so that the response
         time reveals nothing about how close a guess is.
         """
-        given = hash_of(token)
+        given = hash_token(token)
         matching = ""
         for name, stored in self._hashes.items():
             if hmac.compare_digest(given, stored):
@@ -77,7 +77,7 @@
         return "anonymous"
 
 
-def doorkeeper(path, is_open):
+def new_authenticator(path, is_open):
     """Return the authenticator of a listener.
 
     Raises :class:`dandeliontrail.SettingsError` if there is neither a
--- a/tests/common/shared_play.py
+++ b/tests/common/shared_policy_harness.py
@@ -1,4 +1,4 @@
-"""A harness for the ``Shared`` policy of one instance.
+"""A harness for the ``SharedServersPolicy`` of one instance.
 
 The test controls time, servers and the announcements of other instances.
 There is one service, ``llm``, with a route for chats, whose longest allowed
@@ -11,7 +11,7 @@
 from dandeliontrail.coordination import server_loads
 from dandeliontrail.decisions import retry_budget
 from dandeliontrail.decisions import routing
-from dandeliontrail.decisions import shared
+from dandeliontrail.decisions import shared_policy
 from dandeliontrail.decisions import view
 from dandeliontrail.decisions import work as work_module
 from dandeliontrail.resources import revisions
@@ -58,7 +58,7 @@
     )
 
 
-class Play:
+class PolicyHarness:
     """The policy of one instance and its inputs; ``now`` is its clock.
 
     ``slack`` is that of the retry limits of the whole cluster.
@@ -73,7 +73,9 @@
         )
         limits = retry_budget.RetryLimits(0.2, slack, 10.0)
         self.view = View()
-        self.policy = shared.Shared(random.Random(1), self.view, state, limits)
+        self.policy = shared_policy.SharedServersPolicy(
+            random.Random(1), self.view, state, limits
+        )
         self.directory = Directory(count)
         self.now = 0.0
         self.count = 0
--- a/tests/cover/test_bad_input.py
+++ b/tests/cover/test_bad_input.py
@@ -37,7 +37,7 @@
         address = shared.instances[0].addresses["callers"]
         ask = client.Ask(address, world.KEY, "", "hello")
         assert client.send(ask).complete
-        assert shared.instances[0].host.open_exchanges() == 0
+        assert shared.instances[0].host.open_exchange_count() == 0
 
 
 @contextlib.contextmanager
@@ -190,7 +190,7 @@
     # A caller requests a long answer and reads none of it.  Backpressure must
     # reach the engine, with nothing buffered in between except by the
     # sockets.  The stream must not block forever, so the caller is then
-    # disconnected and the engine told to stop.
+    # disconnected and the engine's request cancelled.
     event = b"data: " + b"x" * 65536 + b"\n\n"
     sent_bytes = [0]
 
@@ -207,6 +207,6 @@
     with connection(made) as conn:
         conn.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         conn.sendall(head.encode() + body)
-        world.wait_until(host.open_exchanges)
-        world.wait_until(lambda: not host.open_exchanges())
+        world.wait_until(host.open_exchange_count)
+        world.wait_until(lambda: not host.open_exchange_count())
     assert sent_bytes[0] < MAX_SOCKET_BYTES
--- a/tests/cover/test_forwarding_ends.py
+++ b/tests/cover/test_forwarding_ends.py
@@ -48,21 +48,22 @@
     made, monkeypatch
 ):
     # An instance is suspended while it drains and resumes after its grace
-    # period.  In one iteration of the event loop all requests are told that
-    # the instance ends, and a connection to a server is established.  The
-    # caller is told "not run", so the request must not be sent any more.
+    # period.  In one iteration of the event loop all requests are
+    # notified that the instance ends, and a connection to a server is
+    # established.  The caller receives "not run", so the request must not
+    # be sent any more.
     entry = made.entry()
     server = made.server(answers_500)
     made.knows(entry, server)
     log = LogRecords(entry)
-    connect = connections.Connections.open
+    connect = connections.ConnectionPool.open
 
     def open_while_ending(pool, address):
         conn = connect(pool, address)
         entry.host.submit(events.CutShort("r1"))
         return conn
 
-    monkeypatch.setattr(connections.Connections, "open", open_while_ending)
+    monkeypatch.setattr(connections.ConnectionPool, "open", open_while_ending)
     reply = made.call(entry, "POST", "/order/", body=b"{}")
     assert reply.status == 503
     assert server.ran == []
--- a/tests/cover/test_outcomes.py
+++ b/tests/cover/test_outcomes.py
@@ -42,7 +42,7 @@
         cluster.apply(LOOKUP)
         leave_early(instance, max_tokens=5000)
         world.wait_until(lambda: engine.ran and not running(engine))
-        assert instance.host.open_exchanges() == 0
+        assert instance.host.open_exchange_count() == 0
 
 
 def test_caller_that_leaves_while_it_waits_is_noticed():
@@ -96,7 +96,8 @@
         fields = {"idempotency_key": "report-8"}
         assert client.send(ask(instance, **fields)).complete
         monkeypatch.setattr(
-            "dandeliontrail.coordination.claim_entries.MOST_HELD_BYTES", 10
+            "dandeliontrail.coordination.claim_entries.MAX_HELD_ANSWER_BYTES",
+            10,
         )
         client.send(ask(instance, idempotency_key="report-9"))
         assert len(claims.entries) == 2
@@ -110,7 +111,7 @@
 def test_service_call_that_must_not_be_repeated_is_sent_once():
     # A service receives an order with PUT and dies before it answers. The
     # order may have been placed: it must not be sent again, and the caller
-    # must be told that the outcome is unknown.
+    # must be informed that the outcome is unknown.
     seen = []
 
     def handle(sock, address):
--- a/tests/cover/test_shared_policy.py
+++ b/tests/cover/test_shared_policy.py
@@ -1,4 +1,4 @@
-"""Placement by the ``Shared`` policy on engines that instances share."""
+"""Placement by ``SharedServersPolicy`` on engines that instances share."""
 
 import collections
 import types
@@ -9,57 +9,68 @@
 from dandeliontrail.decisions import affinity
 from dandeliontrail.decisions import engine_choice
 from dandeliontrail.decisions import prefix_announcements
-from dandeliontrail.decisions import shared
+from dandeliontrail.decisions import shared_policy
 from dandeliontrail.decisions import work as work_module
 from dandeliontrail import sentinels
 import pytest
 
-from tests.common import shared_play
+from tests.common import shared_policy_harness
 
 
 def test_requests_with_one_shared_prefix_go_to_one_engine():
-    play = shared_play.Play()
+    harness = shared_policy_harness.PolicyHarness()
     chosen = set()
     for number in range(8):
-        work = play.review(1)
-        chosen.add(play.next()[work.request_id])
-        play.policy.first_output(work.request_id, play.now)
-        play.policy.ended(work_module.Ended(work.request_id, ""), play.now)
-        play.now += 0.5
+        work = harness.review(1)
+        chosen.add(harness.next()[work.request_id])
+        harness.policy.first_output(work.request_id, harness.now)
+        harness.policy.ended(
+            work_module.AttemptEnd(work.request_id, ""), harness.now
+        )
+        harness.now += 0.5
     assert len(chosen) == 1
 
 
 def test_instances_choose_the_same_engine_for_a_new_prefix():
     # Two instances get a prefix for the first time at once.  With different
     # engines, it would be prefilled twice.
-    first, second = shared_play.Play(), shared_play.Play()
+    first, second = (
+        shared_policy_harness.PolicyHarness(),
+        shared_policy_harness.PolicyHarness(),
+    )
     work, other = first.review(5), second.review(5)
     assert first.next()[work.request_id] == second.next()[other.request_id]
 
 
 def test_prefixes_sent_by_other_instances_count_as_cached():
-    play = shared_play.Play()
+    harness = shared_policy_harness.PolicyHarness()
     names = [
-        server.announcement.backend_server for server in play.directory.servers
+        server.announcement.backend_server
+        for server in harness.directory.servers
     ]
     groups = affinity.EngineGroups()
     groups.set_engines("llm", sorted(names))
     last = groups.ranked("t7", False)[-1]
-    play.policy.heard_reads(
-        [server_loads.Read(last, [("t7", shared_play.PREFIX_TOKENS)])], 0.0
+    harness.policy.heard_reads(
+        [
+            server_loads.Read(
+                last, [("t7", shared_policy_harness.PREFIX_TOKENS)]
+            )
+        ],
+        0.0,
     )
-    work = play.review(7)
-    assert play.next()[work.request_id] == last
+    work = harness.review(7)
+    assert harness.next()[work.request_id] == last
 
 
 def test_use_of_a_known_prefix_is_not_announced_again_at_once():
     # Ninety instances use one prefix within seconds.  When each announced
     # each use to all others, that took half of a 5 Mbit/s link.
-    play = shared_play.Play()
-    play.review(7)
-    play.next()
-    (read,) = play.policy.take_reads()
-    other = shared_play.Play()
+    harness = shared_policy_harness.PolicyHarness()
+    harness.review(7)
+    harness.next()
+    (read,) = harness.policy.take_reads()
+    other = shared_policy_harness.PolicyHarness()
     other.policy.heard_reads([read], 0.0)
     other.review(7)
     other.next()
@@ -76,73 +87,76 @@
     # Forty long prompts come within a second.  If they were placed at once,
     # each engine would make one token in the time of fifteen until all are
     # prefilled, and streams that began before would exceed their deadlines.
-    play = shared_play.Play()
+    harness = shared_policy_harness.PolicyHarness()
     for prefix_id in range(40):
-        play.review(prefix_id)
-    placed = play.next()
+        harness.review(prefix_id)
+    placed = harness.next()
     unread = {}
-    for load in play.policy.own_loads():
+    for load in harness.policy.own_loads():
         unread[load.server] = load.unread
     assert 4 <= len(placed) <= 12
     assert (
         max(unread.values())
-        <= engine_choice.MAX_UNREAD_TOKENS + shared_play.PREFIX_TOKENS
+        <= engine_choice.MAX_UNREAD_TOKENS
+        + shared_policy_harness.PREFIX_TOKENS
     )
 
 
 def test_while_a_large_prompt_waits_smaller_ones_wait_too():
-    play = shared_play.Play(count=2)
+    harness = shared_policy_harness.PolicyHarness(count=2)
     busy = [server_loads.Load(f"e{n}", 2, 3_000) for n in range(2)]
-    play.loads.take("other", "fd1", busy, 0.0)
-    large = play.review(1, own=30_000)
-    small = play.review(1, own=4_000)
-    assert play.next() == {}
-    play.loads.take("other", "fd1", [], 0.1)
-    placed = play.next()
+    harness.loads.replace_report("other", "fd1", busy, 0.0)
+    large = harness.review(1, own=30_000)
+    small = harness.review(1, own=4_000)
+    assert harness.next() == {}
+    harness.loads.replace_report("other", "fd1", [], 0.1)
+    placed = harness.next()
     assert large.request_id in placed
     assert small.request_id not in placed
 
 
 def test_without_a_large_prompt_smaller_ones_fill_an_engine():
-    play = shared_play.Play(count=2)
+    harness = shared_policy_harness.PolicyHarness(count=2)
     busy = [server_loads.Load(f"e{n}", 2, 1_500) for n in range(2)]
-    play.loads.take("other", "fd1", busy, 0.0)
-    chat = play.ask((("own", 4_000),))
-    assert chat.request_id in play.next()
+    harness.loads.replace_report("other", "fd1", busy, 0.0)
+    chat = harness.ask((("own", 4_000),))
+    assert chat.request_id in harness.next()
 
 
 def test_work_of_other_instances_counts():
-    play = shared_play.Play(count=2)
+    harness = shared_policy_harness.PolicyHarness(count=2)
     busy = [server_loads.Load(f"e{n}", 9, 50_000) for n in range(2)]
-    play.loads.take("other", "fd1", busy, 0.0)
-    work = play.review(1)
-    assert play.next() == {}
-    play.loads.take("other", "fd1", [], 0.1)
-    assert work.request_id in play.next()
+    harness.loads.replace_report("other", "fd1", busy, 0.0)
+    work = harness.review(1)
+    assert harness.next() == {}
+    harness.loads.replace_report("other", "fd1", [], 0.1)
+    assert work.request_id in harness.next()
 
 
 def test_an_engine_that_has_prefilled_gets_the_next_prompt():
-    play = shared_play.Play(count=2)
-    works = [play.review(1) for _ in range(9)]
-    placed = play.next()
+    harness = shared_policy_harness.PolicyHarness(count=2)
+    works = [harness.review(1) for _ in range(9)]
+    placed = harness.next()
     assert len(placed) < 9
     for request_id in placed:
-        play.policy.first_output(request_id, play.now)
-    assert play.next()
+        harness.policy.first_output(request_id, harness.now)
+    assert harness.next()
     assert len(works) == 9
 
 
 def test_urgent_work_goes_first_and_late_work_last():
-    play = shared_play.Play(count=2)
-    filler = [play.review(0) for _ in range(9)]
-    play.next()
-    play.now = 2.5
-    fresh = play.review(0, own=3000)
-    urgent = play.review(0, own=3000, priority=1)
-    late = [work for work in filler if work.request_id in play.policy._queue]
-    for attempt in list(play.policy._attempts):
-        play.policy.first_output(attempt, play.now)
-    order = list(play.next())
+    harness = shared_policy_harness.PolicyHarness(count=2)
+    filler = [harness.review(0) for _ in range(9)]
+    harness.next()
+    harness.now = 2.5
+    fresh = harness.review(0, own=3000)
+    urgent = harness.review(0, own=3000, priority=1)
+    late = [
+        work for work in filler if work.request_id in harness.policy._queue
+    ]
+    for attempt in list(harness.policy._attempts):
+        harness.policy.first_output(attempt, harness.now)
+    order = list(harness.next())
     assert order[0] == urgent.request_id
     if fresh.request_id in order and late:
         assert order.index(fresh.request_id) == 1
@@ -151,30 +165,30 @@
 def test_low_latency_streams_avoid_engines_with_long_prompts():
     # A chat whose gaps must stay below 0.3 s would share an engine with a
     # prompt of 16,000 tokens, which takes that long to prefill.
-    play = shared_play.Play(count=9)
+    harness = shared_policy_harness.PolicyHarness(count=9)
     reviews = set()
     for prefix_id in range(6):
-        work = play.review(prefix_id)
-        placed = play.next()
+        work = harness.review(prefix_id)
+        placed = harness.next()
         while work.request_id not in placed:
             # Its candidate engines finish the prompts that they have.
-            for attempt in list(play.policy._attempts):
-                play.policy.first_output(attempt, play.now)
-            placed = play.next()
+            for attempt in list(harness.policy._attempts):
+                harness.policy.first_output(attempt, harness.now)
+            placed = harness.next()
         reviews.add(placed[work.request_id])
     chats = set()
     for _ in range(6):
-        work = play.chat()
-        chats.add(play.next()[work.request_id])
+        work = harness.chat()
+        chats.add(harness.next()[work.request_id])
     assert not chats & reviews
 
 
 def test_low_latency_streams_overflow_to_the_other_engines():
-    play = shared_play.Play(count=6)
+    harness = shared_policy_harness.PolicyHarness(count=6)
     chats = set()
     for _ in range(300):
-        work = play.chat()
-        chats.add(play.next()[work.request_id])
+        work = harness.chat()
+        chats.add(harness.next()[work.request_id])
     assert len(chats) > 1
 
 
@@ -184,13 +198,13 @@
     # have half of theirs free.  Without a cost for that wait, 98 requests
     # went there before one went elsewhere, and half of the first tokens were
     # late.
-    play = shared_play.Play(count=5)
+    harness = shared_policy_harness.PolicyHarness(count=5)
     places = collections.Counter()
     for _ in range(110):
-        work = play.chat()
-        name = play.next()[work.request_id]
+        work = harness.chat()
+        name = harness.next()[work.request_id]
         places[name] += 1
-        play.policy.first_output(work.request_id, play.now)
+        harness.policy.first_output(work.request_id, harness.now)
     assert max(places.values()) <= 64 + 2
     assert len(places) > 1
 
@@ -200,7 +214,7 @@
     # another domain, from which a partition may cut it off.  When the
     # rendezvous order alone decided, two in three prompts went to another
     # domain.
-    play = shared_play.Play(count=6)
+    harness = shared_policy_harness.PolicyHarness(count=6)
     own = 0
     choices = 0
     for prefix_id in range(200):
@@ -214,11 +228,13 @@
         if 0 not in domains or len(domains) < 2:
             continue
         choices += 1
-        work = play.review(prefix_id)
-        name = play.next()[work.request_id]
+        work = harness.review(prefix_id)
+        name = harness.next()[work.request_id]
         own += int(name[1:]) % 3 == 0
-        play.policy.first_output(work.request_id, play.now)
-        play.policy.ended(work_module.Ended(work.request_id, name), play.now)
+        harness.policy.first_output(work.request_id, harness.now)
+        harness.policy.ended(
+            work_module.AttemptEnd(work.request_id, name), harness.now
+        )
     assert choices > 20
     assert own == choices
 
@@ -226,16 +242,16 @@
 def test_a_queue_that_is_too_long_refuses_with_a_retry_after():
     # A burst exceeds what the engines can prefill.  The last in the queue are
     # refused at once with a Retry-After, and not only at their deadline.
-    play = shared_play.Play(count=2)
+    harness = shared_policy_harness.PolicyHarness(count=2)
     refused = {}
     for step in range(60):
-        play.now = step * 0.1
-        play.review(step, deadline=4.0)
-        play.review(step + 100, deadline=4.0)
-        for request_id, decision in play.next().items():
+        harness.now = step * 0.1
+        harness.review(step, deadline=4.0)
+        harness.review(step + 100, deadline=4.0)
+        for request_id, decision in harness.next().items():
             if isinstance(decision, str):
                 if step % 3 == 0:
-                    play.policy.first_output(request_id, play.now)
+                    harness.policy.first_output(request_id, harness.now)
             else:
                 refused[request_id] = decision
     assert refused
@@ -248,53 +264,55 @@
 
 
 def test_an_unreachable_server_is_avoided_for_a_while():
-    play = shared_play.Play(count=2)
-    work = play.review(1)
-    server = play.next()[work.request_id]
-    ended = work_module.Ended(
+    harness = shared_policy_harness.PolicyHarness(count=2)
+    work = harness.review(1)
+    server = harness.next()[work.request_id]
+    ended = work_module.AttemptEnd(
         work.request_id, server, failed=True, unreachable=True
     )
-    play.policy.ended(ended, play.now)
-    again = play.review(1)
-    assert play.next()[again.request_id] != server
-    play.now += 5.0
+    harness.policy.ended(ended, harness.now)
+    again = harness.review(1)
+    assert harness.next()[again.request_id] != server
+    harness.now += 5.0
     for request_id in (again.request_id,):
-        play.policy.ended(work_module.Ended(request_id, ""), play.now)
-    later = play.review(1)
-    assert later.request_id in play.next()
+        harness.policy.ended(
+            work_module.AttemptEnd(request_id, ""), harness.now
+        )
+    later = harness.review(1)
+    assert later.request_id in harness.next()
 
 
 def test_without_a_usable_server_work_is_refused_soon():
-    play = shared_play.Play(count=1)
-    work = play.review(1)
-    server = play.next()[work.request_id]
-    play.policy.ended(
-        work_module.Ended(
+    harness = shared_policy_harness.PolicyHarness(count=1)
+    work = harness.review(1)
+    server = harness.next()[work.request_id]
+    harness.policy.ended(
+        work_module.AttemptEnd(
             work.request_id, server, failed=True, unreachable=True
         ),
-        play.now,
+        harness.now,
     )
-    waiting = play.review(2)
-    assert play.next() == {}
-    play.now += shared.NO_SERVER_WAIT_SECONDS + 0.01
-    assert waiting.request_id in play.next()
+    waiting = harness.review(2)
+    assert harness.next() == {}
+    harness.now += shared_policy.NO_SERVER_WAIT_SECONDS + 0.01
+    assert waiting.request_id in harness.next()
 
 
 def test_of_two_servers_at_one_address_the_newer_is_used():
-    play = shared_play.Play(count=2)
-    old, new = play.directory.servers
+    harness = shared_policy_harness.PolicyHarness(count=2)
+    old, new = harness.directory.servers
     new.announcement.url = old.announcement.url
-    new.heard = 5.0
+    new.heard_at = 5.0
     for number in range(5):
-        work = play.review(number)
-        assert play.next()[work.request_id] == "e1"
-        play.policy.first_output(work.request_id, play.now)
+        work = harness.review(number)
+        assert harness.next()[work.request_id] == "e1"
+        harness.policy.first_output(work.request_id, harness.now)
 
 
 def test_retries_stay_within_the_budget():
-    play = shared_play.Play(slack=58.0)
-    works = [play.review(n) for n in range(50)]
-    allowed = [bool(play.policy.retry(work, play.now)) for work in works]
+    harness = shared_policy_harness.PolicyHarness(slack=58.0)
+    works = [harness.review(n) for n in range(50)]
+    allowed = [bool(harness.policy.retry(work, harness.now)) for work in works]
     # A ninth of the slack of 58 and a fifth of the requests, of which four
     # fifths are used.
     assert sum(allowed) == int(0.8 * (0.2 * 50 + 58.0 / 9))
@@ -302,8 +320,8 @@
 
 def test_the_loads_of_others_expire():
     held = server_loads.LoadTable()
-    held.take("a", "fd0", [server_loads.Load("e0", 3, 500)], 0.0)
-    held.take("b", "fd1", [server_loads.Load("e0", 1, 100)], 0.8)
+    held.replace_report("a", "fd0", [server_loads.Load("e0", 3, 500)], 0.0)
+    held.replace_report("b", "fd1", [server_loads.Load("e0", 1, 100)], 0.8)
     assert (held.running("e0"), held.unread("e0")) == (4, 600)
     held.expire(1.5)
     assert (held.running("e0"), held.unread("e0")) == (1, 100)
@@ -311,14 +329,14 @@
 
 def test_a_relay_sums_the_loads_of_its_domain_and_of_all():
     held = server_loads.LoadTable()
-    held.take("a", "fd0", [server_loads.Load("e0", 3, 500)], 0.0)
-    held.take("fd1", "fd1", [server_loads.Load("e0", 10, 1000)], 0.0)
+    held.replace_report("a", "fd0", [server_loads.Load("e0", 3, 500)], 0.0)
+    held.replace_report("fd1", "fd1", [server_loads.Load("e0", 10, 1000)], 0.0)
     own = [server_loads.Load("e0", 1, 1)]
     assert held.sum_of(own, "fd0") == [server_loads.Load("e0", 4, 501)]
     whole = held.sum_of_all(own)
     assert whole == [server_loads.Load("e0", 14, 1501)]
     own = [server_loads.Load("e0", 3, 500)]
-    assert server_loads.without(whole, own) == [
+    assert server_loads.subtract_own(whole, own) == [
         server_loads.Load("e0", 11, 1001)
     ]
 
@@ -328,8 +346,10 @@
     # instance's own loads.  Counted twice, the work would seem twice what it
     # is, and its domain would leave engines idle.
     held = server_loads.LoadTable()
-    held.take(server_loads.ALL, "fd0", [server_loads.Load("e0", 3, 500)], 0.0)
-    held.take("a", "fd0", [server_loads.Load("e0", 3, 500)], 0.1)
+    held.replace_report(
+        server_loads.ALL, "fd0", [server_loads.Load("e0", 3, 500)], 0.0
+    )
+    held.replace_report("a", "fd0", [server_loads.Load("e0", 3, 500)], 0.1)
     assert held.sum_of_all([]) == [server_loads.Load("e0", 3, 500)]
 
 
@@ -362,7 +382,9 @@
         loads=server_loads.LoadTable(),
         identity=types.SimpleNamespace(failure_domain="fd0", instance="r"),
     )
-    return loads_component.ServerLoads(state, shared_play.Play().policy)
+    return loads_component.ServerLoads(
+        state, shared_policy_harness.PolicyHarness().policy
+    )
 
 
 FAR = messages.Sender("b", "far", "fd1", "r", 1)
